--- a/advice/report.go
+++ b/advice/report.go
@@ -1,4 +1,5 @@
-// Package advice is how an instance tells its operators what targets say of themselves in their answers.
+// Package advice defines the report of what targets announce about themselves in their responses, as an
+// instance serves it to operators.
 package advice
 
 import (
@@ -8,20 +9,20 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// Path is where an instance lists what targets say of themselves, and below it, by the target's ID, where it
-// lifts that.
+// Path is the HTTP path of the list of reports. Below it, under the ID of a target, that target's
+// announcements are lifted.
 const Path = "/advice"
 
-// Report is what a target says of itself, as far as an instance acts on it.
+// Report holds the announcements of a target that an instance applies.
 type Report struct {
 	Target  fleet.TargetID       `json:"target"`
 	Service document.ServiceName `json:"service,omitempty"`
-	// LeavingSince is since when some instance knows that the target leaves.
+	// LeavingSince is the time at which an instance first received that the target is leaving.
 	LeavingSince *time.Time `json:"leaving_since,omitempty"`
-	// BackoffUntil is until when this instance backs off from the target.
+	// BackoffUntil is the time until which this instance backs off from the target.
 	BackoffUntil *time.Time `json:"backoff_until,omitempty"`
-	// Rate is in requests a second from all instances together, 0 if the target names none.
+	// Rate is in requests per second from all instances together, 0 if the target announces none.
 	Rate float64 `json:"rate,omitempty"`
-	// RateHolder is the instance that hands the rate out, if it is known.
+	// RateHolder is the instance that grants requests within the rate, if known.
 	RateHolder string `json:"rate_holder,omitempty"`
 }
--- a/gateway/advicereport.go
+++ b/gateway/advicereport.go
@@ -34,7 +34,7 @@
 	for id, until := range g.knowledge.backoffs(now) {
 		of(id).BackoffUntil = &until
 	}
-	for _, n := range g.rates.table.InForce() {
+	for _, n := range g.rates.table.Active() {
 		r := of(n.Target)
 		r.Rate, r.RateHolder = float64(n.Rate), g.rates.holder(now, n.Target)
 	}
@@ -64,7 +64,7 @@
 		}
 	}
 	if g.rates.table.Rate(id) > 0 {
-		g.rates.learn(targetrate.Naming{Target: id, At: now})
+		g.rates.learn(targetrate.Announcement{Target: id, At: now})
 		lifted = true
 	}
 	if !lifted {
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -93,7 +93,7 @@
 
 // attempt tries a target; one that turns it away is followed by another, if the retry budget allows.
 func (z *backoffRun) attempt(in *zoneInstance, asked, now time.Time, tried []fleet.TargetID) {
-	w := placement.Work{Objective: objective, KB: 1, Repeatable: true}
+	w := placement.Work{Objective: objective, KB: 1, Retryable: true}
 	p, ok := in.k.Place(now, "s", z.targets, tried, nil, w, func(exchange.Target, time.Duration) bool { return true })
 	if !ok {
 		return
@@ -107,7 +107,7 @@
 	z.met = append(z.met, a)
 	if after == 0 {
 		z.at(now.Add(time.Duration((0.7+0.6*z.rng.Float64())*float64(workTakes))), func(now time.Time) {
-			z.learn(in, now, a.at, &p, suspicion.Good)
+			z.learn(in, now, a.at, &p, suspicion.Success)
 			if asked.After(start.Add(turnsAwayAfter)) {
 				z.served++
 			}
--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -23,7 +23,7 @@
 func (k *Knowledge) Request(now time.Time, name document.ServiceName, urgent bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.service(name).budget.Request(now, urgent)
+	k.service(name).budget.RecordRequest(now, urgent)
 }
 
 // Spend takes an attempt out of the service's retry budget, if there is one.
@@ -31,7 +31,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	b, instances := k.service(name).budget, k.instances(now)
-	left = b.Left(now, instances)
+	left = b.Available(now, instances)
 	return left, b.Spend(now, instances, urgent)
 }
 
@@ -44,7 +44,7 @@
 		return nil
 	}
 	s.askedAt = now
-	s.budget.Asked(now)
+	s.budget.LoanRequested(now)
 	return []mesh.Loan{{Service: name, Permille: permille}}
 }
 
@@ -66,6 +66,6 @@
 // borrow takes in what another instance has lent.
 func (k *Knowledge) borrow(now time.Time, loans []mesh.Loan) {
 	for _, l := range loans {
-		k.service(l.Service).budget.Borrow(now, float64(l.Permille)/permille)
+		k.service(l.Service).budget.ReceiveLoan(now, float64(l.Permille)/permille)
 	}
 }
--- a/gateway/choice.go
+++ b/gateway/choice.go
@@ -65,7 +65,7 @@
 	defer k.mu.Unlock()
 	s := k.service(name)
 	w.KB += s.answerKB
-	w.Typical = s.latency.known().median
+	w.TypicalTime = s.latency.known().median
 	candidates := make([]placement.Candidate, 0, len(ts))
 	from := make([]*registry.Target, 0, len(ts))
 	for _, t := range ts {
@@ -73,7 +73,7 @@
 			candidates = append(candidates, k.candidate(now, s, t, warm(at(t), k.maxIdle(now, s, t.ID))))
 			from = append(from, t)
 			if t.Zone == k.chooser.Zone {
-				w.InZone++
+				w.ZoneTargets++
 			}
 		}
 	}
@@ -81,7 +81,7 @@
 	if i < 0 {
 		return Placed{}, false
 	}
-	next := k.floor(now, s, w.InZone, candidates)
+	next := k.floor(now, s, w.ZoneTargets, candidates)
 	forFloor := next >= 0 && len(tried) == 0
 	if forFloor {
 		i, cost = next, k.chooser.Cost(w, &candidates[next])
@@ -94,9 +94,9 @@
 	return Placed{
 		Target:        from[i],
 		Cost:          cost,
-		Fails:         c.Fails,
+		Fails:         c.FailureProbability,
 		InFlight:      c.InFlight,
-		Doubtful:      c.Fails >= placement.Doubtful,
+		Doubtful:      c.FailureProbability >= placement.DoubtfulFailureProbability,
 		ForFloor:      forFloor,
 		MaxIdle:       k.maxIdle(now, s, c.ID),
 		restarts:      chosen.restarts,
@@ -139,27 +139,27 @@
 	if now.Sub(k.census.booted) < floorAfter {
 		return -1
 	}
-	return k.chooser.Floor(s.estimator.FailedLately(), inZone, candidates)
+	return k.chooser.FloorTarget(s.estimator.RecentFailureRate(), inZone, candidates)
 }
 
 func (k *Knowledge) candidate(now time.Time, s *service, rt *registry.Target, warm bool) placement.Candidate {
 	t := k.target(rt.ID)
 	return placement.Candidate{
-		ID:        rt.ID,
-		Zone:      rt.Zone,
-		Slots:     rt.Slots,
-		Sick:      s.estimator.Sick(now, rt.ID),
-		Fails:     s.estimator.Fails(now, rt.ID),
-		InFlight:  t.own + t.others,
-		Warm:      warm,
-		Cut:       now.Before(t.cutUntil),
-		Warming:   now.Before(rt.WarmAt),
-		BackedOff: now.Before(t.backoff.others),
-		SinceUse:  now.Sub(t.lastUse),
+		ID:                   rt.ID,
+		Zone:                 rt.Zone,
+		Slots:                rt.Slots,
+		UnhealthyProbability: s.estimator.UnhealthyProbability(now, rt.ID),
+		FailureProbability:   s.estimator.FailureProbability(now, rt.ID),
+		InFlight:             t.own + t.others,
+		HasConn:              warm,
+		PathCut:              now.Before(t.cutUntil),
+		Warming:              now.Before(rt.WarmAt),
+		BackedOff:            now.Before(t.backoff.others),
+		SinceUse:             now.Sub(t.lastUse),
 		// An arrival may be known before any use is, which is told as an attempt ends.
-		SinceArrival: now.Sub(t.arrivedAt),
-		Joined:       t.lastUse.IsZero() && now.Sub(rt.WarmAt) < joinedFor,
-		Near:         k.near(now, rt.Zone),
+		SinceStart:      now.Sub(t.arrivedAt),
+		Joined:          t.lastUse.IsZero() && now.Sub(rt.WarmAt) < joinedFor,
+		ZoneResponsible: k.near(now, rt.Zone),
 	}
 }
 
--- a/gateway/contents.go
+++ b/gateway/contents.go
@@ -223,7 +223,7 @@
 		g.contents.Take(now, e, p.Addr)
 	}
 	for _, e := range p.Evidence {
-		if e.What == suspicion.Good {
+		if e.What == suspicion.Success {
 			g.targetAnswered(now, e.Target, e.AgeMillis)
 		}
 	}
@@ -238,7 +238,7 @@
 // targetAnswered takes in that a target answered an attempt that began so long ago: its process
 // in use is alive.
 func (g *Gateway) targetAnswered(now time.Time, id fleet.TargetID, agedMillis int64) {
-	g.poison.Sound(now, id)
+	g.poison.RecordTargetSuccess(now, id)
 	if t := g.state.Targets().Target(id); t != nil {
 		g.contents.Answered(now, quarantine.Process{Target: id, Born: t.Born}, now.Add(-millis(agedMillis)))
 	}
--- a/gateway/digest.go
+++ b/gateway/digest.go
@@ -37,7 +37,7 @@
 	for _, g := range d.Successes {
 		began := now.Add(-millis(g.AgeMillis))
 		for range min(g.Count, mostSuccesses) {
-			k.observe(now, mesh.Evidence{Service: g.Service, Target: g.Target, What: suspicion.Good}, began, string(name))
+			k.observe(now, mesh.Evidence{Service: g.Service, Target: g.Target, What: suspicion.Success}, began, string(name))
 		}
 	}
 }
--- a/gateway/evidence.go
+++ b/gateway/evidence.go
@@ -50,7 +50,7 @@
 	}
 	k.observe(now, e, began, fromSelf)
 	k.tally(e, began)
-	if o == suspicion.Good {
+	if o == suspicion.Success {
 		k.target(id).cutFor = 0
 	}
 	if len(k.pending) < evidenceMost {
@@ -86,15 +86,15 @@
 		k.target(e.Target).lastUse = now
 		k.target(e.Target).arrived(began)
 	}
-	if e.What == suspicion.Good {
+	if e.What == suspicion.Success {
 		s.latency.add(millis(e.TookMillis))
 	}
 	switch change {
-	case suspicion.NowSuspected:
+	case suspicion.BecameSuspected:
 		r := s.estimator.Rates()
 		eventlog.Info(eventlog.TargetSuspected, "target", e.Target, "service", e.Service, "by", from, "evidence", e.What,
-			"age_ms", now.Sub(began).Milliseconds(), "sick_before", eventlog.Share(before), "sick", eventlog.Share(after), "sound_fails", eventlog.Share(r.SoundFails), "bout_ms", r.Bout.Milliseconds())
-	case suspicion.NowCleared:
+			"age_ms", now.Sub(began).Milliseconds(), "sick_before", eventlog.Share(before), "sick", eventlog.Share(after), "sound_fails", eventlog.Share(r.HealthyFailureRate), "bout_ms", r.UnhealthyPeriod.Milliseconds())
+	case suspicion.BecameCleared:
 		eventlog.Info(eventlog.TargetCleared, "target", e.Target, "service", e.Service, "by", from, "evidence", e.What,
 			"age_ms", now.Sub(began).Milliseconds(), "sick_before", eventlog.Share(before), "sick", eventlog.Share(after))
 	}
@@ -110,7 +110,7 @@
 
 // estimate moves the estimate of the evidence's target.
 func (k *Knowledge) estimate(now time.Time, s *service, e *mesh.Evidence, began time.Time, from string) (before, after float64, c suspicion.Change) {
-	if e.What != suspicion.Rested {
+	if e.What != suspicion.IdleReset {
 		return s.estimator.Observe(now, e.Target, e.What, began)
 	}
 	idle := millis(e.TookMillis)
@@ -118,8 +118,8 @@
 	if from != fromSelf {
 		weight = 1 / float64(max(k.census.most.number(), 1))
 	}
-	targetFails := s.estimator.FailsAtOnce(now, e.Target)
-	before, after, c = s.estimator.ObserveRested(now, e.Target, s.reuse.stale(idle))
+	targetFails := s.estimator.QuickFailureProbability(now, e.Target)
+	before, after, c = s.estimator.ObserveIdleReset(now, e.Target, s.reuse.stale(idle))
 	s.reuse.broke(now, idle, targetFails, weight)
 	k.target(e.Target).reuse.after(now, idle)
 	return before, after, c
--- a/gateway/firstseconds_test.go
+++ b/gateway/firstseconds_test.go
@@ -155,16 +155,16 @@
 
 // finish lets the target work, or fail.
 func (z *zoneRun) finish(in *zoneInstance, began time.Time, p *Placed) {
-	takes, o := time.Duration((0.7+0.6*z.rng.Float64())*float64(workTakes)), suspicion.Good
+	takes, o := time.Duration((0.7+0.6*z.rng.Float64())*float64(workTakes)), suspicion.Success
 	switch {
 	case z.sick[p.ID] && z.rng.Float64() < 0.85:
-		takes, o = quickFailure, suspicion.Quick
+		takes, o = quickFailure, suspicion.QuickFailure
 	case z.rng.Float64() < soundFailShare:
-		o = suspicion.Bad
+		o = suspicion.Failure
 	}
 	boot := in.boot
 	z.at(began.Add(takes), func(now time.Time) {
-		if in.boot != boot || in.down || o != suspicion.Good {
+		if in.boot != boot || in.down || o != suspicion.Success {
 			z.unserved = append(z.unserved, began)
 		}
 		if in.boot == boot && !in.down {
@@ -176,11 +176,11 @@
 // learn does what a request's path does at its end.
 func (z *zoneRun) learn(in *zoneInstance, now, began time.Time, p *Placed, o suspicion.Observation) {
 	in.k.Ended(*p)
-	if o == suspicion.Good {
+	if o == suspicion.Success {
 		in.rested[p.ID]++
 	}
 	in.k.Observe(now, "s", p.ID, o, began, now.Sub(began))
-	if o != suspicion.Good || p.Doubtful {
+	if o != suspicion.Success || p.Doubtful {
 		news := in.k.News(now, p.ID)
 		z.tell(in, now, &news, func(string) bool { return true })
 	}
--- a/gateway/fleet_bench_test.go
+++ b/gateway/fleet_bench_test.go
@@ -90,7 +90,7 @@
 func BenchmarkFleetWork(b *testing.B) {
 	for _, instances := range []int{36, 293, 920} {
 		f := newBenchFleet(b, instances)
-		failure := []mesh.Evidence{{Service: "service-0", Target: f.target(1), What: suspicion.Bad, AgeMillis: 300}}
+		failure := []mesh.Evidence{{Service: "service-0", Target: f.target(1), What: suspicion.Failure, AgeMillis: 300}}
 		var loads []mesh.Load
 		for i := range 5 {
 			loads = append(loads, mesh.Load{Target: f.target(i), InFlight: 1})
--- a/gateway/fuzz_test.go
+++ b/gateway/fuzz_test.go
@@ -15,7 +15,7 @@
 func FuzzPeerPacket(f *testing.F) {
 	for _, p := range []mesh.Packet{
 		{Addr: "p", Zone: "a", Boot: 1, Heartbeat: true, Load: []mesh.Load{{Target: "t1", InFlight: 2}}, Asks: []mesh.Loan{{Service: "s", Permille: 1000}}, Loans: []mesh.Loan{{Service: "s", Permille: 500}}},
-		{Addr: "p", Zone: "b", Boot: 1, Evidence: []mesh.Evidence{{Service: "s", Target: "t1", What: suspicion.Bad, AgeMillis: 5}}, Beliefs: []mesh.Belief{{Service: "s", Target: "t2", Permille: 900}}},
+		{Addr: "p", Zone: "b", Boot: 1, Evidence: []mesh.Evidence{{Service: "s", Target: "t1", What: suspicion.Failure, AgeMillis: 5}}, Beliefs: []mesh.Belief{{Service: "s", Target: "t2", Permille: 900}}},
 		{Addr: "p", Zone: "b", Boot: 1, Digest: &mesh.Digest{Instances: 2, Successes: []mesh.Successes{{Service: "s", Target: "t1", Count: 3}}}},
 	} {
 		b, err := cbor.Marshal(&p)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -314,10 +314,10 @@
 	g.rates.tick(now)
 	if targets != g.tidied || now.Sub(g.tidiedAt) > tidyEvery {
 		g.tidied, g.tidiedAt = targets, now
-		g.poison.Tick(now)
+		g.poison.Expire(now)
 		inUse := func(id fleet.TargetID) bool { return unknown || targets.Target(id) != nil }
 		g.knowledge.Forget(inUse)
-		g.rates.table.Forget(now, inUse)
+		g.rates.table.Prune(now, inUse)
 	}
 	g.client.Cache.Sweep(now, func(t exchange.Target) bool {
 		rt := targets.Target(t.ID)
--- a/gateway/knowledge.go
+++ b/gateway/knowledge.go
@@ -126,7 +126,7 @@
 			delete(z.load, id)
 		}
 		for _, s := range k.services {
-			s.estimator.Forget(func(other fleet.TargetID) bool { return other != id })
+			s.estimator.Prune(func(other fleet.TargetID) bool { return other != id })
 		}
 	}
 }
@@ -163,7 +163,7 @@
 		}
 	}
 	for _, s := range k.services {
-		s.estimator.Forget(inUse)
+		s.estimator.Prune(inUse)
 	}
 }
 
@@ -173,7 +173,7 @@
 	defer k.mu.Unlock()
 	n := make(map[document.ServiceName]int, len(k.services))
 	for name, s := range k.services {
-		n[name] = s.estimator.Suspects()
+		n[name] = s.estimator.SuspectedCount()
 	}
 	return n
 }
--- a/gateway/knowledge_test.go
+++ b/gateway/knowledge_test.go
@@ -80,10 +80,10 @@
 	assert.Equal(t, len(asks), 1)
 	assert.Assert(t, short.Short(start, "s") == nil, "not again at once")
 	for _, k := range ks[1:] {
-		before := k.service("s").budget.Left(start, 6)
+		before := k.service("s").budget.Available(start, 6)
 		loans := k.Lend(start, "short", asks)
 		short.Take(start, &mesh.Packet{Addr: "p", Zone: "a", Boot: 1, Loans: loans})
-		assert.Assert(t, k.service("s").budget.Left(start, 6) < before)
+		assert.Assert(t, k.service("s").budget.Available(start, 6) < before)
 	}
 	assert.Equal(t, spendable(short, start), 1)
 	assert.Assert(t, short.Short(start.Add(askEvery), "s") != nil)
@@ -124,7 +124,7 @@
 		return p.ID
 	}
 	first := place()
-	k.Take(start, &mesh.Packet{Addr: "p", Zone: "b", Evidence: []mesh.Evidence{{Service: "s", Target: first, What: suspicion.Bad}}})
+	k.Take(start, &mesh.Packet{Addr: "p", Zone: "b", Evidence: []mesh.Evidence{{Service: "s", Target: first, What: suspicion.Failure}}})
 	assert.Assert(t, place() != first)
 	_, ok := k.Place(start, "s", ts, []fleet.TargetID{"t1", "t2"}, nil, placement.Work{}, cold)
 	assert.Assert(t, !ok)
@@ -144,7 +144,7 @@
 	k := newKnowledge()
 	v := viewOf(mesh.Member{Addr: "p"})
 	p := &mesh.Packet{Addr: "p", Zone: "a", Boot: 1, Heartbeat: true, Load: []mesh.Load{{Target: "t", InFlight: 2}}}
-	p.Evidence = []mesh.Evidence{{Service: "s", Target: "t", What: suspicion.Good}}
+	p.Evidence = []mesh.Evidence{{Service: "s", Target: "t", What: suspicion.Success}}
 	k.Take(start, p)
 	k.Take(start, &mesh.Packet{Addr: "q", Zone: "b", Digest: &mesh.Digest{Load: []mesh.Load{{Target: "t", InFlight: 5}}}})
 	d := k.Digest(start, v, true)
@@ -159,8 +159,8 @@
 // attempts have just failed: those at one target are good, those at another bad.
 func triesForFloor(t *testing.T, k *Knowledge, ts []*registry.Target, now time.Time, good, bad fleet.TargetID) bool {
 	for range 20 {
-		k.Observe(now, "s", good, suspicion.Good, now, time.Millisecond)
-		k.Observe(now, "s", bad, suspicion.Bad, now, 0)
+		k.Observe(now, "s", good, suspicion.Success, now, time.Millisecond)
+		k.Observe(now, "s", bad, suspicion.Failure, now, 0)
 	}
 	p, ok := k.Place(now, "s", ts, nil, nil, placement.Work{}, cold)
 	assert.Assert(t, ok)
@@ -187,7 +187,7 @@
 	var ts []*registry.Target
 	for _, id := range []fleet.TargetID{"a", "b", "c", "d"} {
 		ts = append(ts, &registry.Target{Entry: registry.Entry{ID: id, Zone: "a", Slots: 2}})
-		k.Observe(start, "s", id, suspicion.Good, start, time.Millisecond)
+		k.Observe(start, "s", id, suspicion.Success, start, time.Millisecond)
 	}
 	ts = append(ts, &registry.Target{Entry: registry.Entry{ID: "new", Zone: "a", Slots: 2}, WarmAt: start.Add(3 * time.Second)})
 	warm := func(to exchange.Target, _ time.Duration) bool { return to.ID != "new" }
@@ -218,7 +218,7 @@
 	now := start.Add(time.Minute)
 	k.Take(now, &mesh.Packet{Addr: "p", Zone: "a", Evidence: []mesh.Evidence{{Service: "s", Target: "t", What: suspicion.Unreachable}}})
 	assert.Assert(t, k.target("t").lastUse.IsZero())
-	k.Take(now, &mesh.Packet{Addr: "p", Zone: "a", Evidence: []mesh.Evidence{{Service: "s", Target: "t", What: suspicion.Bad}}})
+	k.Take(now, &mesh.Packet{Addr: "p", Zone: "a", Evidence: []mesh.Evidence{{Service: "s", Target: "t", What: suspicion.Failure}}})
 	assert.Equal(t, k.target("t").lastUse, now)
 }
 
@@ -226,18 +226,18 @@
 func TestAFreshInstanceTakesOverBeliefs(t *testing.T) {
 	old, fresh := newKnowledge(), newKnowledge()
 	for range 3 {
-		old.Observe(start, "s", "sick", suspicion.Bad, start, 0)
-		old.Observe(start, "s", "sound", suspicion.Good, start, time.Millisecond)
+		old.Observe(start, "s", "sick", suspicion.Failure, start, 0)
+		old.Observe(start, "s", "sound", suspicion.Success, start, time.Millisecond)
 	}
 	fresh.Take(start, &mesh.Packet{Addr: "old", Zone: "a", Boot: 1, Beliefs: old.Beliefs(start)})
 	e := fresh.service("s").estimator
-	assert.Assert(t, e.Sick(start, "sick") > suspicion.Suspected)
-	assert.Assert(t, e.Sick(start, "sound") < suspicion.Cleared)
+	assert.Assert(t, e.UnhealthyProbability(start, "sick") > suspicion.SuspectThreshold)
+	assert.Assert(t, e.UnhealthyProbability(start, "sound") < suspicion.ClearThreshold)
 	many := newKnowledge()
 	for n := range 100 {
-		many.Observe(start, "s", fleet.TargetID(fmt.Sprint(n)), suspicion.Good, start, 0)
+		many.Observe(start, "s", fleet.TargetID(fmt.Sprint(n)), suspicion.Success, start, 0)
 	}
-	many.Observe(start, "s", "sick", suspicion.Bad, start, 0)
+	many.Observe(start, "s", "sick", suspicion.Failure, start, 0)
 	told := many.Beliefs(start)
 	assert.Equal(t, len(told), beliefEntries)
 	assert.Equal(t, told[0].Target, fleet.TargetID("sick"))
@@ -253,23 +253,23 @@
 	bad := func(age time.Duration) *mesh.Packet {
 		return &mesh.Packet{
 			Addr: "p", Zone: "a", Boot: 1, Load: []mesh.Load{{Target: "t1", InFlight: 3}},
-			Evidence: []mesh.Evidence{{Service: "s", Target: "t1", What: suspicion.Bad, AgeMillis: age.Milliseconds()}},
+			Evidence: []mesh.Evidence{{Service: "s", Target: "t1", What: suspicion.Failure, AgeMillis: age.Milliseconds()}},
 		}
 	}
 	k.Take(start, bad(0))
 	k.Observe(start, "s", "t1", suspicion.Unreachable, start, 0)
-	unknown := k.service("s").estimator.Sick(start, "other")
-	assert.Assert(t, k.service("s").estimator.Sick(start, "t1") > unknown)
+	unknown := k.service("s").estimator.UnhealthyProbability(start, "other")
+	assert.Assert(t, k.service("s").estimator.UnhealthyProbability(start, "t1") > unknown)
 
 	again := start.Add(time.Second)
 	k.Restarted(again, []fleet.TargetID{"t1"})
 	k.Ended(earlier)
-	k.Observe(again.Add(time.Second), "s", "t1", suspicion.Bad, start, 0)
+	k.Observe(again.Add(time.Second), "s", "t1", suspicion.Failure, start, 0)
 	packet := bad(1500 * time.Millisecond)
 	packet.Load = nil
 	k.Take(again.Add(time.Second), packet)
 	k.Take(again.Add(time.Second), &mesh.Packet{Addr: "q", Zone: "a", Boot: 1, Beliefs: []mesh.Belief{{Service: "s", Target: "t1", Permille: 900}}})
-	known := k.service("s").estimator.Sick(again, "t1")
+	known := k.service("s").estimator.UnhealthyProbability(again, "t1")
 	assert.Assert(t, known <= unknown, "%v, of an unknown one %v", known, unknown)
 	p, ok := k.Place(again.Add(time.Second), "s", ts, nil, nil, placement.Work{}, cold)
 	assert.Assert(t, ok)
@@ -277,7 +277,7 @@
 	assert.Assert(t, !again.Before(k.target("t1").cutUntil), "the path is not cut")
 
 	k.Take(again.Add(2*time.Second), bad(10*time.Millisecond))
-	assert.Assert(t, k.service("s").estimator.Sick(again.Add(2*time.Second), "t1") > unknown, "what is seen of the later process counts")
+	assert.Assert(t, k.service("s").estimator.UnhealthyProbability(again.Add(2*time.Second), "t1") > unknown, "what is seen of the later process counts")
 	assert.Equal(t, k.target("t1").others, 3)
 }
 
@@ -301,7 +301,7 @@
 
 	heartbeat.Load = nil
 	for _, target := range ts[2:] {
-		heartbeat.Evidence = append(heartbeat.Evidence, mesh.Evidence{Service: "s", Target: target.ID, What: suspicion.Good, AgeMillis: 1000, TookMillis: 700})
+		heartbeat.Evidence = append(heartbeat.Evidence, mesh.Evidence{Service: "s", Target: target.ID, What: suspicion.Success, AgeMillis: 1000, TookMillis: 700})
 	}
 	told := began.Add(2700 * time.Millisecond)
 	k.Take(told, heartbeat)
--- a/gateway/learn.go
+++ b/gateway/learn.go
@@ -21,7 +21,7 @@
 	if e.result.Reused && e.result.Answer != nil {
 		c.h.Knowledge.Rested(time.Now(), c.service, e.result.IdleFor)
 	}
-	if failed(&e.result) && c.h.Poison.Failed(time.Now(), &c.content, e.placed.ID) {
+	if failed(&e.result) && c.h.Poison.RecordFailure(time.Now(), &c.content, e.placed.ID) {
 		eventlog.Info(eventlog.RequestAtFault, "request", c.id, "service", c.service, "target", e.placed.ID)
 		return // it says nothing of the target
 	}
@@ -34,23 +34,23 @@
 			c.observe(e.placed, c.failure(res.Took), began, 0)
 			return
 		}
-		c.h.Poison.Served(time.Now(), &c.content, e.placed.ID)
+		c.h.Poison.RecordSuccess(time.Now(), &c.content, e.placed.ID)
 		c.h.Knowledge.Answered(c.service, len(res.Answer.Body))
-		c.observe(e.placed, suspicion.Good, began, res.Took)
+		c.observe(e.placed, suspicion.Success, began, res.Took)
 	case exchange.Refused:
 		if res.Answer.Status == http.StatusMisdirectedRequest {
-			c.observe(e.placed, suspicion.Elsewhere, began, 0)
+			c.observe(e.placed, suspicion.WrongTarget, began, 0)
 		}
 	case exchange.Unsent:
 		o := suspicion.Unreachable
 		if errors.Is(res.Err, syscall.ECONNREFUSED) {
-			o = suspicion.Down
+			o = suspicion.ConnRefused
 		}
 		c.observe(e.placed, o, began, 0)
 	case exchange.Broken:
 		o := c.failure(res.Took)
-		if res.Reused && o == suspicion.Quick && res.IdleFor >= restedLeast {
-			c.observe(e.placed, suspicion.Rested, began, res.IdleFor)
+		if res.Reused && o == suspicion.QuickFailure && res.IdleFor >= restedLeast {
+			c.observe(e.placed, suspicion.IdleReset, began, res.IdleFor)
 			return
 		}
 		c.observe(e.placed, o, began, 0)
@@ -76,7 +76,7 @@
 
 // failure is the observation of a failure that came after the given time.
 func (c *call) failure(took time.Duration) suspicion.Observation {
-	return suspicion.Failure(took, c.h.Knowledge.Durations(c.service).median)
+	return suspicion.ClassifyFailure(took, c.h.Knowledge.Durations(c.service).median)
 }
 
 // observeSlow records that an attempt takes longer than others do, unless the request does so everywhere.
@@ -93,7 +93,7 @@
 	now := time.Now()
 	c.h.Knowledge.Observe(now, c.service, p.ID, o, began, took)
 	switch {
-	case o != suspicion.Good || p.Doubtful:
+	case o != suspicion.Success || p.Doubtful:
 		c.h.Tell(c.h.Knowledge.News(now, p.ID))
 	case p.crowded():
 		c.tellLoad(p)
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -26,7 +26,7 @@
 
 // tally counts a success of the own zone, for its digest.
 func (k *Knowledge) tally(e mesh.Evidence, began time.Time) {
-	if e.What != suspicion.Good {
+	if e.What != suspicion.Success {
 		return
 	}
 	t := k.target(e.Target)
@@ -40,7 +40,7 @@
 // arrived tells whether the observation means that a request reached the target.
 func arrived(o suspicion.Observation) bool {
 	switch o {
-	case suspicion.Unreachable, suspicion.Down, suspicion.Elsewhere:
+	case suspicion.Unreachable, suspicion.ConnRefused, suspicion.WrongTarget:
 		return false
 	}
 	return true
@@ -135,7 +135,7 @@
 	defer k.mu.Unlock()
 	var all []mesh.Belief
 	for name, s := range k.services {
-		s.estimator.Known(now, func(id fleet.TargetID, sick float64) {
+		s.estimator.Each(now, func(id fleet.TargetID, sick float64) {
 			all = append(all, mesh.Belief{Service: name, Target: id, Permille: int(permille * sick)})
 		})
 	}
@@ -151,7 +151,7 @@
 			continue
 		}
 		sick := float64(b.Permille) / permille
-		if k.service(b.Service).estimator.Adopt(now, b.Target, sick) && sick >= suspicion.Suspected {
+		if k.service(b.Service).estimator.Adopt(now, b.Target, sick) && sick >= suspicion.SuspectThreshold {
 			eventlog.Info(eventlog.TargetSuspected, "target", b.Target, "service", b.Service, "by", from, "evidence", "belief", "sick", eventlog.Share(sick))
 		}
 	}
--- a/gateway/ratenews.go
+++ b/gateway/ratenews.go
@@ -21,9 +21,9 @@
 		rs.metrics.RateRefused(targetrate.OutOfRange)
 		return
 	}
-	change := rs.table.Take(now, n)
+	change := rs.table.Apply(now, n)
 	if r.Holder != "" && p.Zone != rs.zone {
-		rs.table.Said(now, r.Target, r.Holder)
+		rs.table.SetReportedHolder(now, r.Target, r.Holder)
 	}
 	if change == targetrate.Unchanged {
 		return
@@ -35,22 +35,22 @@
 }
 
 // heardNaming is what another instance tells of a target's rate.
-func heardNaming(now time.Time, r mesh.TargetRate) (targetrate.Naming, error) {
+func heardNaming(now time.Time, r mesh.TargetRate) (targetrate.Announcement, error) {
 	rate := targetrate.Rate(r.Permille) / permille
-	if rate != 0 && (rate < targetrate.Least || rate > targetrate.Most) || r.AgeMillis < 0 || r.AgeMillis > oldestRate.Milliseconds() {
-		return targetrate.Naming{}, errors.Errorf("%v requests a second, %d ms ago", rate, r.AgeMillis)
+	if rate != 0 && (rate < targetrate.MinRate || rate > targetrate.MaxRate) || r.AgeMillis < 0 || r.AgeMillis > oldestRate.Milliseconds() {
+		return targetrate.Announcement{}, errors.Errorf("%v requests a second, %d ms ago", rate, r.AgeMillis)
 	}
-	return targetrate.Naming{Target: r.Target, Rate: rate, At: now.Add(-millis(r.AgeMillis))}, nil
+	return targetrate.Announcement{Target: r.Target, Rate: rate, At: now.Add(-millis(r.AgeMillis))}, nil
 }
 
 // toldRate is a naming as it is told.
-func toldRate(now time.Time, n targetrate.Naming, holder string) mesh.TargetRate {
+func toldRate(now time.Time, n targetrate.Announcement, holder string) mesh.TargetRate {
 	return mesh.TargetRate{Target: n.Target, Permille: int64(permille * n.Rate), AgeMillis: now.Sub(n.At).Milliseconds(), Holder: holder}
 }
 
 // fill puts the rates that are known into a packet, with who of the own zone holds them.
 func (rs *Rates) fill(now time.Time, p *mesh.Packet) {
-	namings := rs.table.Told(now)
+	namings := rs.table.Shareable(now)
 	if len(namings) == 0 {
 		return
 	}
@@ -66,9 +66,9 @@
 
 // learn takes in what an attempt of this instance says of its target's rate, and tells the others what
 // is news.
-func (rs *Rates) learn(n targetrate.Naming) {
+func (rs *Rates) learn(n targetrate.Announcement) {
 	now := time.Now()
-	change := rs.table.Take(now, n)
+	change := rs.table.Apply(now, n)
 	if change == targetrate.Unchanged {
 		return
 	}
@@ -83,15 +83,15 @@
 	}
 	rate, named, err := targetrate.Parse(e.result.Answer.Header.Values(c.h.Client.Headers.Rate))
 	if err == nil && named && !vouched(&e.result) {
-		err = errors.WithStack(&targetrate.Refused{Cause: targetrate.NotVouched})
+		err = errors.WithStack(&targetrate.RefusedError{Cause: targetrate.Unverified})
 	}
 	switch {
 	case err != nil:
 		c.refuseRate(e, err)
 	case named:
-		c.h.Rates.learn(targetrate.Naming{Target: e.placed.ID, Rate: rate, At: time.Now()})
+		c.h.Rates.learn(targetrate.Announcement{Target: e.placed.ID, Rate: rate, At: time.Now()})
 	case e.result.Answer.Sealed && c.h.Rates.table.Rate(e.placed.ID) > 0:
-		c.h.Rates.learn(targetrate.Naming{Target: e.placed.ID, At: began})
+		c.h.Rates.learn(targetrate.Announcement{Target: e.placed.ID, At: began})
 	}
 }
 
@@ -100,7 +100,7 @@
 
 // refuseRate notes that what a target named is no rate.
 func (c *call) refuseRate(e ended, err error) {
-	var refused *targetrate.Refused
+	var refused *targetrate.RefusedError
 	if errors.As(err, &refused) {
 		c.h.Metrics.RateRefused(refused.Cause)
 	}
@@ -108,6 +108,6 @@
 }
 
 // logRate tells what changed of a target's rate.
-func logRate(n targetrate.Naming, change targetrate.Change, by string, now time.Time) {
+func logRate(n targetrate.Announcement, change targetrate.Change, by string, now time.Time) {
 	eventlog.Info(eventlog.RateNamed, "target", n.Target, "change", change, "rate", float64(n.Rate), "by", by, "age_ms", now.Sub(n.At).Milliseconds())
 }
--- a/gateway/rates.go
+++ b/gateway/rates.go
@@ -106,7 +106,7 @@
 		return
 	}
 	candidates := rs.candidates(now)
-	rs.table.Hold(now, func(id fleet.TargetID) bool {
+	rs.table.UpdateHeld(now, func(id fleet.TargetID) bool {
 		return rs.ours(now, id) && targetrate.Holder(id, candidates) == rs.node.Addr()
 	})
 }
@@ -162,7 +162,7 @@
 	if rs.ours(now, id) {
 		return targetrate.Holder(id, rs.candidates(now))
 	}
-	return rs.table.SaidHolder(now, id)
+	return rs.table.ReportedHolder(now, id)
 }
 
 // withheld returns those of the targets that get no request now.
@@ -273,7 +273,7 @@
 	again := time.NewTicker(tokenAgain)
 	defer again.Stop()
 	for {
-		rate := toldRate(time.Now(), rs.table.Naming(id), "")
+		rate := toldRate(time.Now(), rs.table.Latest(id), "")
 		rs.node.AskToken(holder, mesh.TokenAsk{Number: number, Rate: rate, Urgent: urgent})
 		select {
 		case t := <-answer:
--- a/gateway/rates_test.go
+++ b/gateway/rates_test.go
@@ -226,9 +226,9 @@
 		rate := f.named[id]
 		f.mu.Unlock()
 		if rate > 0 {
-			rates.learn(targetrate.Naming{Target: id, Rate: rate, At: time.Now()})
+			rates.learn(targetrate.Announcement{Target: id, Rate: rate, At: time.Now()})
 		} else if rates.table.Rate(id) > 0 {
-			rates.learn(targetrate.Naming{Target: id, At: began})
+			rates.learn(targetrate.Announcement{Target: id, At: began})
 		}
 	})
 }
@@ -402,7 +402,7 @@
 		in := f.instances[0]
 		in.members = make(map[string]mesh.Member)
 		in.rates = NewRates(in, in.zone, time.Now(), func() *registry.View { return f.targets }, NewMetrics())
-		in.rates.learn(targetrate.Naming{Target: "t-0-0", Rate: 7, At: time.Now().Add(-time.Second)})
+		in.rates.learn(targetrate.Announcement{Target: "t-0-0", Rate: 7, At: time.Now().Add(-time.Second)})
 		call := &call{h: &Handler{Rates: in.rates, Metrics: NewMetrics(), Client: &exchange.Client{Headers: exchange.Headers{Rate: "Rate"}}}}
 		call.learnRate(c.e, time.Now())
 		assert.Equal(t, in.rates.table.Rate("t-0-0"), c.want, c.name)
--- a/gateway/reuse_test.go
+++ b/gateway/reuse_test.go
@@ -93,8 +93,8 @@
 	k := newKnowledge()
 	s := k.service("s")
 	for n, id := range []fleet.TargetID{"a", "b"} {
-		k.Observe(start, "s", id, suspicion.Good, start, time.Millisecond)
-		k.Observe(start, "s", id, suspicion.Rested, start, time.Second)
+		k.Observe(start, "s", id, suspicion.Success, start, time.Millisecond)
+		k.Observe(start, "s", id, suspicion.IdleReset, start, time.Second)
 		assert.Equal(t, k.maxIdle(start, s, id), 600*time.Millisecond)
 		others := k.maxIdle(start, s, "c")
 		assert.Equal(t, others, []time.Duration{reuseIdle, 600 * time.Millisecond}[n])
--- a/gateway/ways_test.go
+++ b/gateway/ways_test.go
@@ -29,7 +29,7 @@
 	{"turned a request away", func(g *Gateway, id fleet.TargetID) { g.knowledge.TurnedAway(time.Now(), "s", id, time.Minute) }},
 	{"names a rate that nobody hands out", func(g *Gateway, id fleet.TargetID) {
 		g.rates.Leave()
-		g.rates.learn(targetrate.Naming{Target: id, Rate: 1, At: time.Now()})
+		g.rates.learn(targetrate.Announcement{Target: id, Rate: 1, At: time.Now()})
 	}},
 }
 
@@ -63,7 +63,7 @@
 func failLately(g *Gateway) {
 	for range 50 {
 		g.knowledge.mu.Lock()
-		g.knowledge.service("s").estimator.Observe(time.Now(), "elsewhere", suspicion.Bad, time.Now())
+		g.knowledge.service("s").estimator.Observe(time.Now(), "elsewhere", suspicion.Failure, time.Now())
 		g.knowledge.mu.Unlock()
 	}
 }
--- a/lab/estimate.go
+++ b/lab/estimate.go
@@ -68,13 +68,13 @@
 func (p *estimate) observation(r fleet.TryResult, took time.Duration) (suspicion.Observation, bool) {
 	switch {
 	case r == fleet.TryOK:
-		return suspicion.Good, true
+		return suspicion.Success, true
 	case r == fleet.TryDialFailed:
 		return suspicion.Unreachable, true
 	case !r.Failed():
 		return 0, false
 	}
-	return suspicion.Failure(took, p.service.Mean), true
+	return suspicion.ClassifyFailure(took, p.service.Mean), true
 }
 
 func (p *estimate) observe(now time.Duration, s seen) {
@@ -112,13 +112,13 @@
 	sick := make(map[int]float64, len(p.targets))
 	order := append([]int(nil), p.targets...)
 	for _, t := range order {
-		sick[t] = p.estimator.Sick(epoch.Add(now), targetID(t))
+		sick[t] = p.estimator.UnhealthyProbability(epoch.Add(now), targetID(t))
 		p.weights[t] = 1
 	}
 	sort.Slice(order, func(a, b int) bool { return sick[order[a]] > sick[order[b]] })
 	most := len(order) - int(math.Ceil(float64(len(order)*p.service.Floor)/100))
 	for _, t := range order[:min(max(most, 0), len(order))] {
-		if sick[t] >= suspicion.Suspected {
+		if sick[t] >= suspicion.SuspectThreshold {
 			p.weights[t] = 0
 		}
 	}
--- a/losses/request.go
+++ b/losses/request.go
@@ -123,7 +123,7 @@
 	switch {
 	case err != nil:
 		return "a target of which the line does not tell"
-	case fails < placement.Doubtful:
+	case fails < placement.DoubtfulFailureProbability:
 		return "a target that looked sound"
 	case l.Get("for_floor") == "true":
 		return "a doubtful target, tried for the floor"
--- a/losses/target.go
+++ b/losses/target.go
@@ -77,7 +77,7 @@
 			return // a target that is full is not sick
 		}
 		fails, err := strconv.ParseFloat(l.Get("fails"), 64)
-		x.failures = append(x.failures, attempt{began(l), err == nil && fails < placement.Doubtful})
+		x.failures = append(x.failures, attempt{began(l), err == nil && fails < placement.DoubtfulFailureProbability})
 	case eventlog.TargetSuspected:
 		x.changes = append(x.changes, change{l.At, true})
 	case eventlog.TargetCleared:
--- a/mesh/load_test.go
+++ b/mesh/load_test.go
@@ -67,7 +67,7 @@
 
 // failureOf is what an attempt that failed says of a target.
 func failureOf(i int) []Evidence {
-	return []Evidence{{Service: "bookings", Target: fleet.TargetID(fmt.Sprintf("i-%010d", i)), What: suspicion.Bad, AgeMillis: 300}}
+	return []Evidence{{Service: "bookings", Target: fleet.TargetID(fmt.Sprintf("i-%010d", i)), What: suspicion.Failure, AgeMillis: 300}}
 }
 
 // TestNewsLeavesTheLinkFreeForAChange: in a fleet of 134 instances callers sent twice their
--- a/mesh/news.go
+++ b/mesh/news.go
@@ -126,7 +126,7 @@
 func withoutSuccesses(es []Evidence) []Evidence {
 	var out []Evidence
 	for _, e := range es {
-		if e.What != suspicion.Good {
+		if e.What != suspicion.Success {
 			out = append(out, e)
 		}
 	}
--- a/mesh/node_test.go
+++ b/mesh/node_test.go
@@ -115,7 +115,7 @@
 		}
 		return others[2].View().InZone() == 3
 	})
-	a.Tell(Packet{Evidence: []Evidence{{Target: "t", What: suspicion.Bad}}})
+	a.Tell(Packet{Evidence: []Evidence{{Target: "t", What: suspicion.Failure}}})
 	for i, n := range others {
 		eventually(t, "news arrived", func() bool { return n.evidence("t") > 0 })
 		time.Sleep(50 * time.Millisecond)
@@ -197,7 +197,7 @@
 	eventually(t, "known", func() bool { return a.View().InZone() == 2 && b.View().InZone() == 2 })
 	var p Packet
 	for range 200 {
-		p.Evidence = append(p.Evidence, Evidence{Service: "a-service-name", Target: "t", What: suspicion.Bad})
+		p.Evidence = append(p.Evidence, Evidence{Service: "a-service-name", Target: "t", What: suspicion.Failure})
 	}
 	a.Tell(p)
 	eventually(t, "all of it", func() bool { return b.evidence("t") == 200 })
@@ -279,7 +279,7 @@
 	p := &Packet{Addr: "10.1.0.34:7540", Zone: "riga-a", Boot: time.Now().UnixMilli(), Sequence: 1000, Heartbeat: true, Versions: Versions{Document: 60, Registry: 90}}
 	for range 4 {
 		p.Load = append(p.Load, Load{Target: "i-7f3a91c2ab", InFlight: 1})
-		p.Evidence = append(p.Evidence, Evidence{Service: "huvo11a", Target: "i-7f3a91c2ab", What: suspicion.Good, AgeMillis: 300, TookMillis: 300})
+		p.Evidence = append(p.Evidence, Evidence{Service: "huvo11a", Target: "i-7f3a91c2ab", What: suspicion.Success, AgeMillis: 300, TookMillis: 300})
 	}
 	var size int
 	for b.Loop() {
--- a/mesh/outbox_test.go
+++ b/mesh/outbox_test.go
@@ -142,7 +142,7 @@
 	for _, p := range h.packets {
 		if len(p.Evidence) > 0 {
 			assert.Equal(t, p.Zone, passedPacket(1).Zone)
-			assert.Assert(t, p.Evidence[0].What == suspicion.Bad)
+			assert.Assert(t, p.Evidence[0].What == suspicion.Failure)
 		}
 	}
 }
--- a/placement/cost.go
+++ b/placement/cost.go
@@ -8,256 +8,255 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// Weights turn what is known into parts of a request's worth.
+// Weights are the costs and gains of targets' properties, in units of the value of a request.
 type Weights struct {
 	// ZonePerKB is the cost of a kilobyte that crosses zones.
 	ZonePerKB float64 `json:"zone_per_kb"`
-	// ZoneMost bounds the cost of crossing zones: a large body is still better
-	// moved than lost.
-	ZoneMost float64 `json:"zone_most"`
+	// ZoneMax bounds the cost of crossing zones: moving a large body is still better than
+	// losing the request.
+	ZoneMax float64 `json:"zone_most"`
 	// Connection is the cost of opening a connection.
 	Connection float64 `json:"connection"`
-	// Preference is the cost of the target that is at place Homes in the
-	// instance's own order of its zone's targets. The cost grows evenly with the
-	// place, up to mostPreference times that, so that an instance meets few
-	// targets, on warm connections, however many there are.
+	// Preference is the cost of the target at position Homes in the instance's preference order of
+	// its zone's targets. The cost is linear in the position, up to maxPreference times this, so
+	// that an instance uses few targets, over open connections, however many there are.
 	Preference float64 `json:"preference"`
-	// Homes is how many targets of its zone an instance should mostly use.
+	// Homes is the number of targets of its zone that an instance mostly uses.
 	Homes float64 `json:"homes"`
-	// Load is the cost at a target whose slots are all taken; below, it grows
-	// with the square of the part that is taken.
+	// Load is the cost at a target whose slots are all in use; below that, it grows with the
+	// square of the share in use.
 	Load float64 `json:"load"`
-	// Late is the cost of an answer after the objective, and Queue what it grows by
-	// for each further objective that the answer is expected to take: where all queues
-	// are long, the shortest is still the best, and the longest end in refusals.
+	// Late is the cost of a response after the objective. Queue is the additional cost for each
+	// further objective that the response is expected to take: where all queues are long, the
+	// shortest is still the best, and the longest end in rejections.
 	Late  float64 `json:"late"`
 	Queue float64 `json:"queue"`
-	// Trial is the gain of a trial at a doubtful target by work that can be
-	// repeated.
+	// Trial is the gain of a trial of a doubtful target by a retryable request.
 	Trial float64 `json:"trial"`
-	// CutPath is the cost of a path that was found cut.
+	// CutPath is the cost of a network path that was found interrupted.
 	CutPath float64 `json:"cut_path"`
-	// Crowd is the cost of a doubtful target that others are trying.
-	Crowd float64 `json:"crowd"`
+	// ConcurrentTrial is the cost of a doubtful target that already has requests in flight.
+	ConcurrentTrial float64 `json:"crowd"`
 	// Warmup is the cost of a target that is still slow after its start.
 	Warmup float64 `json:"warmup"`
-	// Backoff is the cost of a target from which other instances back off, since it turned them away: the
-	// request is likely turned away too, and needs another target out of the retry budget.
+	// Backoff is the cost of a target that rejected requests and from which other instances back
+	// off: it is likely to reject this one too, which costs an attempt of the retry budget.
 	Backoff float64 `json:"backoff"`
-	// Unused is the gain of a target near by that nobody used lately: in a service in
-	// trouble each sound target must see some work within 2 s, also one that was
-	// doubted. Targets of other zones are left to their instances, for in a large fleet
-	// most of their use is not heard of here.
+	// Unused is the gain of a target that has not been used lately: in a failing service each
+	// healthy target should get some requests within 2 s, also one that was doubtful. It applies
+	// to targets that this zone is responsible for, since in a large fleet most of the use of
+	// other zones' targets is not reported here.
 	Unused float64 `json:"unused"`
-	// Joined is the gain of the first work at a target that joined lately: capacity
-	// that was added is to be used at once.
+	// Joined is the gain of the first request to a target that joined lately, so that new
+	// capacity is used at once.
 	Joined float64 `json:"joined"`
-	// Noise is the spread of a random part of each cost. Instances learn of each
-	// other's choices late; without it they would all choose the same target.
+	// Noise is the scale of a random part of each cost. Instances receive each other's choices
+	// with a delay; without it they would all choose the same target.
 	Noise float64 `json:"noise"`
-	// Failure is the cost of a failure that cannot be repeated elsewhere, and
-	// RepeatableFailure of one that can. The former is twice a request's worth: the
-	// request itself, and as much again for its part in the share that is served at
-	// all. A higher one makes queues at the sound targets longer.
-	Failure           float64 `json:"failure"`
-	RepeatableFailure float64 `json:"repeatable_failure"`
+	// Failure is the cost of a failure that cannot be retried at another target, and
+	// RetryableFailure of one that can. Failure is twice the value of a request: the request
+	// itself, and as much again for the service's success rate. A higher cost makes queues
+	// at the healthy targets longer.
+	Failure          float64 `json:"failure"`
+	RetryableFailure float64 `json:"repeatable_failure"`
 }
 
-// DefaultWeights come from the users' prices: a request is worth 1 to 2 units,
-// a kilobyte between zones 0.006 to 0.038, a new connection 0.017 to 0.08.
+// DefaultWeights returns weights that follow from these prices: a request is worth 1 to 2 units,
+// a kilobyte between zones 0.006 to 0.038, and a new connection 0.017 to 0.08.
 func DefaultWeights() Weights {
 	return Weights{
-		ZonePerKB:         0.028,
-		ZoneMost:          0.5,
-		Connection:        0.06,
-		Preference:        0.2,
-		Homes:             8,
-		Load:              0.1,
-		Late:              0.8,
-		Queue:             0.5,
-		Trial:             0.05,
-		CutPath:           0.8,
-		Crowd:             0.5,
-		Warmup:            0.1,
-		Backoff:           0.5,
-		Unused:            0.1,
-		Joined:            0.6,
-		Noise:             0.01,
-		Failure:           2,
-		RepeatableFailure: 0.8,
+		ZonePerKB:        0.028,
+		ZoneMax:          0.5,
+		Connection:       0.06,
+		Preference:       0.2,
+		Homes:            8,
+		Load:             0.1,
+		Late:             0.8,
+		Queue:            0.5,
+		Trial:            0.05,
+		CutPath:          0.8,
+		ConcurrentTrial:  0.5,
+		Warmup:           0.1,
+		Backoff:          0.5,
+		Unused:           0.1,
+		Joined:           0.6,
+		Noise:            0.01,
+		Failure:          2,
+		RetryableFailure: 0.8,
 	}
 }
 
-// Bounds of what counts as doubtful, and of queues.
+// Thresholds of doubtful targets and of queues.
 const (
-	// Doubtful is the probability of failure from which an attempt is a trial, and
-	// only one at a time is made.
-	Doubtful = 0.2
-	// unusedAfter is half of the time in which every sound target should see
-	// some work.
-	unusedAfter = time.Second
-	// mostPreference bounds the cost of a target far down in the instance's order,
-	// in parts of Weights.Preference.
-	mostPreference = 2
-	// trialAfter is the time between trials at a doubtful target.
-	trialAfter = 2 * time.Second
-	// unseen is how many requests more than known are taken to be at a target:
-	// news of them is on its way.
-	unseen = 1
-	// onTime and tooLate are the expected durations, in parts of the objective,
-	// from which answers begin to be late, and are all late: durations vary.
-	onTime  = 0.45
-	tooLate = 1.1
+	// DoubtfulFailureProbability is the failure probability from which a target is doubtful. An
+	// attempt at it is a trial, and only one trial at a time is made.
+	DoubtfulFailureProbability = 0.2
+	// unusedThreshold is half of the time within which each healthy target should get requests.
+	unusedThreshold = time.Second
+	// maxPreference bounds the cost of a target far down in the preference order, as a multiple of
+	// Weights.Preference.
+	maxPreference = 2
+	// trialInterval is the minimum time between trials of a doubtful target.
+	trialInterval = 2 * time.Second
+	// unreportedRequests is added to the requests in flight at a target, since reports of further
+	// ones are on their way.
+	unreportedRequests = 1
+	// Responses begin to be late at an expected duration of lateFrom objectives, and are all late
+	// at fullyLateFrom, since durations vary.
+	lateFrom      = 0.45
+	fullyLateFrom = 1.1
 )
 
-// Candidate is what is known of one target.
+// Candidate is the state of one target as the instance has it.
 type Candidate struct {
 	ID    fleet.TargetID
 	Zone  fleet.Zone
 	Slots int
-	// Sick is the probability that the target is sick, Fails that an attempt fails.
-	Sick, Fails float64
-	// InFlight is how many requests all instances have there.
+	// UnhealthyProbability is the probability that the target is unhealthy, FailureProbability
+	// that an attempt fails.
+	UnhealthyProbability, FailureProbability float64
+	// InFlight is the number of requests of all instances in flight at the target.
 	InFlight int
-	// Warm tells that an open connection is at hand.
-	Warm bool
-	// Cut tells that the path from this instance was found cut.
-	Cut bool
-	// Warming tells that the target is still slow after its start.
+	// HasConn reports whether an open connection is available.
+	HasConn bool
+	// PathCut reports whether the network path from this instance was found interrupted.
+	PathCut bool
+	// Warming reports whether the target is still slow after its start.
 	Warming bool
-	// BackedOff tells that other instances back off from the target, since it turned them away.
+	// BackedOff reports whether other instances back off from the target since it rejected requests.
 	BackedOff bool
-	// SinceUse is the time since any instance sent it work.
+	// SinceUse is the time since an attempt of any instance at the target was last recorded.
 	SinceUse time.Duration
-	// SinceArrival is the time since the latest request that is known began there,
-	// at whichever instance.
-	SinceArrival time.Duration
-	// Joined tells that the target has just started and nobody sent it work yet.
+	// SinceStart is the time since the start of the latest request to the target, of any instance.
+	SinceStart time.Duration
+	// Joined reports whether the target has just started and has not been used yet.
 	Joined bool
-	// Near tells that this instance's zone looks after the target: what the
-	// instances of its zone do is known at once, and others leave it to them.
-	Near bool
+	// ZoneResponsible reports whether this instance's zone is responsible for the target.
+	// Instances of that zone report their use of it to each other at once, and others leave
+	// trials of it to them.
+	ZoneResponsible bool
 }
 
-// Bounds of Floor.
+// Parameters of the floor, the minimum share of a failing service's healthy targets to be in use.
 const (
-	// troubled is the part of a service's attempts that fail from which the floor
-	// is kept.
-	troubled = 0.09
-	// floorShare is the part of the sound targets that must see work, and floorWithin
-	// in which time: the users ask for 0.7 of them within 2 s. The rest is for targets
-	// that are taken for sound and are not.
+	// floorFailureRate is the share of a service's attempts that fail from which the floor applies.
+	floorFailureRate = 0.09
+	// floorShare is the share of the healthy targets that must get requests within floorWindow. The
+	// requirement is 0.7 within 2 s; the margin is for unhealthy targets that count as healthy.
 	floorShare  = 0.8
-	floorWithin = 1500 * time.Millisecond
-	// alike is the difference of two probabilities that says nothing: what one instance heard
-	// and another did not.
-	alike = 0.02
+	floorWindow = 1500 * time.Millisecond
+	// probabilityTolerance is the difference of two probabilities that is insignificant, since
+	// it can come from updates that one instance has received and another has not.
+	probabilityTolerance = 0.02
 )
 
-// Floor returns the target that is to be tried next so that a service in trouble does
-// not shrink to a few targets: what looked sick may be sound again, and the rest is
-// loaded by what was set aside. InZone is how many of the candidates are in the chooser's zone.
+// FloorTarget returns the index of the candidate to be tried next so that the load of a failing service
+// does not fall on a few targets only: targets that were unhealthy may have recovered.
+// recentFailureRate is the share of the service's recent attempts that failed, zoneTargets the number
+// of candidates in the chooser's zone.
 //
-// It returns -1 while the targets in use are enough of the sound ones, of all or of those that
-// the instance considers, each counted by the probability that it is sound: trials of what is
-// surely sick would only be failures. Among the considered ones that are not used it is the one
-// that is most likely sound, and of equals the first in the instance's own order.
+// It returns -1 if the service does not fail, or while a sufficient share of the healthy targets is in
+// use, among all candidates or among those that the instance is responsible for. Each target counts by
+// the probability that it is healthy: a trial of a target that is almost certainly unhealthy would only
+// be a failure. Otherwise it returns, of the unused targets that the instance is responsible for, the one
+// that is most likely healthy, and among equals the first in the instance's preference order.
 //
-// Each target is considered by about as many instances as one has homes, which tell each other
-// at once of the requests that begin there. So one trial suffices, where all of a zone tried what they
-// had not heard of for a second; and an instance needs no time to learn what others use.
+// About as many instances are responsible for a target as an instance has homes, and they report requests
+// to each other at their start. This keeps the number of concurrent trials of a target low, whereas a
+// rule based on use reported within the last second made all instances of a zone try the same targets.
+// Nor does an instance have to learn first which targets others use.
 //
-// A target from which others back off counts neither way: it turns a trial away.
+// A target from which others back off is not counted, since it would reject a trial.
 //
-// A target is in use by the requests that begin there: what is still at work may have begun
-// long ago, and news of its end comes later still.
-func (c *Chooser) Floor(failedLately float64, inZone int, ts []Candidate) int {
-	if failedLately < troubled {
+// Use is measured by the start of requests: a request in flight may have started long ago, and its end
+// is reported later still.
+func (c *Chooser) FloorTarget(recentFailureRate float64, zoneTargets int, ts []Candidate) int {
+	if recentFailureRate < floorFailureRate {
 		return -1
 	}
-	var all, own tally
+	var all, own floorTally
 	next := -1
 	for i := range ts {
 		t := &ts[i]
 		if t.BackedOff {
 			continue
 		}
-		used := t.SinceArrival < floorWithin
+		used := t.SinceStart < floorWindow
 		all.add(t, used)
-		if !t.Near || !c.looksAfter(t, inZone) {
+		if !t.ZoneResponsible || !c.responsibleFor(t, zoneTargets) {
 			continue
 		}
 		own.add(t, used)
-		if !used && !t.Cut && (next < 0 || c.likelierSound(t, &ts[next])) {
+		if !used && !t.PathCut && (next < 0 || c.betterTrial(t, &ts[next])) {
 			next = i
 		}
 	}
-	if all.suffices() || own.suffices() {
+	if all.sufficient() || own.sufficient() {
 		return -1
 	}
 	return next
 }
 
-// looksAfter tells whether the instance keeps the target in use where that is needed: those
-// that it considers in its own zone, and those of zones that nobody else is heard to look after.
-func (c *Chooser) looksAfter(t *Candidate, inZone int) bool {
-	return t.Zone != c.Zone || c.Considers(c.Self, t.ID, inZone)
+// responsibleFor reports whether the instance keeps the target, for which its zone is responsible, in use
+// for the floor: those of its own zone that it considers, and all of other zones.
+func (c *Chooser) responsibleFor(t *Candidate, zoneTargets int) bool {
+	return t.Zone != c.Zone || c.Considers(c.Self, t.ID, zoneTargets)
 }
 
-// likelierSound compares targets for a trial. Instances that know the same would otherwise all
-// try the same one.
-func (c *Chooser) likelierSound(a, b *Candidate) bool {
-	if math.Abs(a.Sick-b.Sick) > alike {
-		return a.Sick < b.Sick
+// betterTrial reports whether a is a better target for a trial than b. Ties are broken by the preference
+// order, since instances with the same information would otherwise all try the same target.
+func (c *Chooser) betterTrial(a, b *Candidate) bool {
+	if math.Abs(a.UnhealthyProbability-b.UnhealthyProbability) > probabilityTolerance {
+		return a.UnhealthyProbability < b.UnhealthyProbability
 	}
-	return order(c.Self, a.ID) < order(c.Self, b.ID)
+	return preferenceRank(c.Self, a.ID) < preferenceRank(c.Self, b.ID)
 }
 
-// tally is how many targets are expected to be sound, and of these in use.
-type tally struct{ sound, used float64 }
+// floorTally is the expected number of healthy targets, and of those among them that are in use.
+type floorTally struct{ healthy, used float64 }
 
-func (n *tally) add(t *Candidate, used bool) {
-	n.sound += 1 - t.Sick
+func (n *floorTally) add(t *Candidate, used bool) {
+	n.healthy += 1 - t.UnhealthyProbability
 	if used {
-		n.used += 1 - t.Sick
+		n.used += 1 - t.UnhealthyProbability
 	}
 }
 
-func (n *tally) suffices() bool { return n.used >= floorShare*n.sound }
+func (n *floorTally) sufficient() bool { return n.used >= floorShare*n.healthy }
 
-// Work is what is to be placed.
+// Work describes the request to be placed.
 type Work struct {
-	// Repeatable tells that a failure can be repeated elsewhere.
-	Repeatable bool
-	// KB is the size of request and answer, in kilobytes.
+	// Retryable reports whether a failed attempt can be retried at another target.
+	Retryable bool
+	// KB is the size of request and response, in kilobytes.
 	KB float64
-	// Typical is how long work at the service takes at a free slot, and Objective
-	// within which time it should be done; 0 if there is no such time.
-	Typical, Objective time.Duration
-	// InZone is how many of the candidates are in the chooser's zone.
-	InZone int
+	// TypicalTime is the usual duration of a request to the service at a free slot. Objective is
+	// the latency objective, 0 if there is none.
+	TypicalTime, Objective time.Duration
+	// ZoneTargets is the number of candidates in the chooser's zone.
+	ZoneTargets int
 }
 
-// Chooser chooses for one instance.
+// Chooser chooses targets for one instance.
 type Chooser struct {
 	Weights Weights
 	Self    fleet.InstanceID
 	Zone    fleet.Zone
-	// Random returns numbers from 0 to below 1.
+	// Random returns numbers in [0, 1).
 	Random func() float64
 }
 
-// Cost is the expected cost of sending the work to the candidate.
+// Cost returns the expected cost of sending the request to the candidate.
 func (c *Chooser) Cost(w Work, t *Candidate) float64 {
 	k := &c.Weights
-	cost := c.failure(w, t) + c.load(w, t) + c.preference(w, t)
+	cost := c.failureCost(w, t) + c.loadCost(w, t) + c.preferenceCost(w, t)
 	if t.Zone != c.Zone {
-		cost += min(k.ZonePerKB*w.KB, k.ZoneMost)
+		cost += min(k.ZonePerKB*w.KB, k.ZoneMax)
 	}
-	if !t.Warm {
+	if !t.HasConn {
 		cost += k.Connection
 	}
-	if t.Cut {
+	if t.PathCut {
 		cost += k.CutPath
 	}
 	if t.Warming {
@@ -269,95 +268,94 @@
 	return cost
 }
 
-// preference is the cost of the target's place in the instance's own order. Targets of
-// other zones come after the last of the own zone: they are used when the own ones do not
-// suffice, by everybody alike. Where a zone has far more targets than an instance has homes,
-// work would otherwise go to other zones as soon as the homes are busy or sick.
-func (c *Chooser) preference(w Work, t *Candidate) float64 {
-	x := order(c.Self, t.ID)
-	if t.Zone == c.Zone && w.InZone > 0 {
-		x = min(c.homes(x, w.InZone), mostPreference)
+// preferenceCost returns the cost of the target's position in the preference order. Targets of other
+// zones come after the last one of the own zone and are the same for all instances: they are used when
+// those of the own zone do not suffice. Otherwise requests would go to other zones as soon as the homes
+// are busy or unhealthy, in zones with many more targets than an instance has homes.
+func (c *Chooser) preferenceCost(w Work, t *Candidate) float64 {
+	x := preferenceRank(c.Self, t.ID)
+	if t.Zone == c.Zone && w.ZoneTargets > 0 {
+		x = min(c.scaleByHomes(x, w.ZoneTargets), maxPreference)
 	} else {
-		x += min(c.homes(1, w.InZone), mostPreference)
+		x += min(c.scaleByHomes(1, w.ZoneTargets), maxPreference)
 	}
 	return c.Weights.Preference * x
 }
 
-// homes is a place in an instance's order of a number of targets, in parts of
+// scaleByHomes converts a rank from 0 to 1 among the given number of targets into a multiple of
 // Weights.Homes.
-func (c *Chooser) homes(place float64, of int) float64 {
-	return place * float64(of) / c.Weights.Homes
+func (c *Chooser) scaleByHomes(rank float64, targets int) float64 {
+	return rank * float64(targets) / c.Weights.Homes
 }
 
-// Considers tells whether the target, one of a number of its service in its zone, is among
-// those that another instance of this zone mostly uses. What is in flight at others matters
-// little to that instance: it uses them where its own do not suffice, and hears of their load
-// by heartbeats. Each target is so considered by about as many instances as it has homes,
+// Considers reports whether another instance of this zone considers the target among its main choices,
+// where zoneTargets is the number of targets of the service in the zone. Requests in flight at other
+// targets matter little to that instance: it uses them only when its own do not suffice, and receives
+// their load by heartbeats. About as many instances consider a target as an instance has homes,
 // however many instances there are.
-func (c *Chooser) Considers(other fleet.InstanceID, id fleet.TargetID, of int) bool {
-	return c.homes(order(other, id), of) < mostPreference
+func (c *Chooser) Considers(other fleet.InstanceID, id fleet.TargetID, zoneTargets int) bool {
+	return c.scaleByHomes(preferenceRank(other, id), zoneTargets) < maxPreference
 }
 
-func (c *Chooser) failure(w Work, t *Candidate) float64 {
+func (c *Chooser) failureCost(w Work, t *Candidate) float64 {
 	k := &c.Weights
-	cost := t.Fails * k.Failure
-	if w.Repeatable {
-		cost = t.Fails * k.RepeatableFailure
+	cost := t.FailureProbability * k.Failure
+	if w.Retryable {
+		cost = t.FailureProbability * k.RetryableFailure
 	}
 	switch {
-	case t.Fails >= Doubtful && t.InFlight > 0:
-		return cost + k.Crowd
-	case t.Fails >= Doubtful && w.Repeatable && t.SinceUse > trialAfter && t.Zone == c.Zone:
+	case t.FailureProbability >= DoubtfulFailureProbability && t.InFlight > 0:
+		return cost + k.ConcurrentTrial
+	case t.FailureProbability >= DoubtfulFailureProbability && w.Retryable && t.SinceUse > trialInterval && t.Zone == c.Zone:
 		return -k.Trial
-	case t.Joined && t.InFlight == 0 && t.Near:
+	case t.Joined && t.InFlight == 0 && t.ZoneResponsible:
 		return cost - k.Joined
-	case t.Fails < Doubtful && t.Near && t.InFlight == 0 && t.SinceUse > unusedAfter:
+	case t.FailureProbability < DoubtfulFailureProbability && t.ZoneResponsible && t.InFlight == 0 && t.SinceUse > unusedThreshold:
 		return cost - k.Unused
 	}
 	return cost
 }
 
-// load is the cost of what is already at the target: full slots, and a queue that
-// makes answers late.
-func (c *Chooser) load(w Work, t *Candidate) float64 {
+// loadCost returns the cost of the requests in flight at the target: the share of its slots in use, and
+// a queue that makes responses late.
+func (c *Chooser) loadCost(w Work, t *Candidate) float64 {
 	slots := float64(max(t.Slots, 1))
 	full := min(float64(t.InFlight)/slots, 1)
 	cost := c.Weights.Load * full * full
 	if w.Objective <= 0 {
 		return cost
 	}
-	turns := max(float64(t.InFlight+unseen)/slots, 1)
-	expected := turns * float64(w.Typical) / float64(w.Objective)
-	x := min(max((expected-onTime)/(tooLate-onTime), 0), 1)
+	turns := max(float64(t.InFlight+unreportedRequests)/slots, 1)
+	expected := turns * float64(w.TypicalTime) / float64(w.Objective)
+	x := min(max((expected-lateFrom)/(fullyLateFrom-lateFrom), 0), 1)
 	cost += c.Weights.Late * x * x * (3 - 2*x)
-	return cost + c.Weights.Queue*max(expected-tooLate, 0)
+	return cost + c.Weights.Queue*max(expected-fullyLateFrom, 0)
 }
 
-// Choose returns the index of the cheapest candidate and its cost; -1 if there
-// is none.
+// Choose returns the index of the cheapest candidate and its cost, or -1 if there are no candidates.
 func (c *Chooser) Choose(w Work, ts []Candidate) (int, float64) {
-	best, least := -1, 0.0
+	best, minCost := -1, 0.0
 	for i := range ts {
 		cost := c.Cost(w, &ts[i]) + c.noise()
-		if best < 0 || cost < least {
-			best, least = i, cost
+		if best < 0 || cost < minCost {
+			best, minCost = i, cost
 		}
 	}
-	return best, least
+	return best, minCost
 }
 
-// noise is drawn from a Gumbel distribution: the choice then falls on each target
-// with a probability that falls exponentially with its cost.
+// noise returns a random cost with a Gumbel distribution: each target is then chosen with a probability
+// that falls exponentially with its cost.
 func (c *Chooser) noise() float64 {
-	const least = 1e-9
-	return c.Weights.Noise * math.Log(-math.Log(max(c.Random(), least)))
+	const minRandom = 1e-9
+	return c.Weights.Noise * math.Log(-math.Log(max(c.Random(), minRandom)))
 }
 
-// order is a number from 0 to 1 that differs for each pair of instance and target,
-// evenly spread: the place of the target in the instance's own order.
-func order(self fleet.InstanceID, id fleet.TargetID) float64 {
+// preferenceRank returns the position of the target in the instance's preference order, from 0 to 1. It
+// is a hash of both IDs, uniformly distributed.
+func preferenceRank(self fleet.InstanceID, id fleet.TargetID) float64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(self)) // a hash takes every write
+	_, _ = h.Write([]byte(self)) // a hash never returns an error
 	_, _ = h.Write([]byte{0})
 	_, _ = h.Write([]byte(id))
 	x := h.Sum64()
--- a/placement/doc.go
+++ b/placement/doc.go
@@ -1,17 +1,18 @@
 // Package placement chooses the target of an attempt by its expected cost.
 //
-// Everything that speaks against a target is put into one unit, parts of what
-// the request is worth: the probability that the attempt fails, bytes that would
-// cross zones, a connection that would have to be opened, work that is already
-// there, a path that was found cut. The cheapest target wins, so a doubtful
-// target is used where the alternatives are worse, and nothing is refused
-// because everything is doubtful.
+// All costs are in one unit, the value of a request: the probability that the attempt fails, bytes that
+// cross zones, a connection that has to be opened, requests in flight at the target, an interrupted
+// network path. The cheapest target is chosen, so that a doubtful target is used where the alternatives
+// are worse, and no request is rejected because all targets are doubtful.
 //
-// Each instance has an order of preference of its own, worth a little, so that
-// instances with the same knowledge spread out and meet few targets each, on
-// connections that stay warm. A target that nobody has used for a while is made
-// a little cheaper: without work, nobody would learn that it is sound, and
-// capacity would lie idle.
+// Each instance has a preference order of its own, with a small weight. Instances with the same
+// information thereby spread out, and each uses few targets, over connections that stay open. The first
+// targets in that order, about Weights.Homes of the instance's zone, are its homes. A target that has not
+// been used for a while becomes slightly cheaper: without requests, its health would stay unknown and
+// its capacity unused.
 //
-// The package is pure: all that it weighs is passed in.
+// While a service fails, a floor applies: a minimum share of its healthy targets must be in use (see
+// Chooser.FloorTarget).
+//
+// The package is pure: all input is passed in.
 package placement
--- a/poison/doc.go
+++ b/poison/doc.go
@@ -1,13 +1,14 @@
-// Package poison finds requests that fail at each target that they meet, so that their failures are not put
-// down to targets that serve everything else.
+// Package poison detects poison requests: requests that fail at each target, whose failures are therefore no
+// evidence against targets that serve other requests.
 //
-// A request is known again by its content (quarantine.Content). A failure of it counts for the request if its target
-// served something else shortly before or since. After failures at three such targets the request is at fault, until a
-// target serves it or a minute has passed: what it fails then tells nothing of a target, and it takes no further attempts
-// out of the common budget.
+// Requests are identified by content (quarantine.Content). A failure counts against the request if its target
+// served something else shortly before or since. After failures at three such targets the request is at
+// fault, until a target serves it or a minute has passed. While a request is at fault, its failures do not
+// change the health estimates of targets, and it gets no further attempts from the shared retry budget.
 //
-// Each instance learns for itself: it costs a fleet three targets' good name for a moment at each instance that the
-// request comes to, and no news. What crashes its targets is package quarantine's, which all share.
+// Each instance tracks requests on its own, without messages to others. The price is that three targets are
+// briefly suspected at each instance that receives the request. Requests that crash their targets are
+// handled by package quarantine, whose state is shared by all instances.
 //
 // The package reads no clock and does no I/O.
 package poison
--- a/poison/table.go
+++ b/poison/table.go
@@ -12,68 +12,70 @@
 )
 
 const (
-	// enoughTargets is at how many targets that serve others a request must have failed: fewer are met by
-	// chance while some targets of a service are sick.
-	enoughTargets = 3
-	// rememberFor is how long a failure is remembered.
-	rememberFor = time.Minute
-	// soundFor is how long before a failure a success speaks for the target.
-	soundFor = 5 * time.Second
-	// maxContents and maxTargets bound the contents that are known, and the failures of each.
+	// minFailedTargets is the number of targets, each of which serves other requests, at which a request must
+	// have failed. Fewer failures happen by chance while some targets of a service are unhealthy.
+	minFailedTargets = 3
+	// failureRetention is how long a failure is kept.
+	failureRetention = time.Minute
+	// successLookback is how long before a failure a success still shows that the target was healthy.
+	successLookback = 5 * time.Second
+	// maxContents bounds the tracked contents, maxTargets the failures of each.
 	maxContents = 1024
 	maxTargets  = 8
 )
 
-// Table is what an instance knows of requests that fail wherever they go. It is safe for concurrent use.
+// Table tracks the requests that fail at each target. It is safe for concurrent use.
 type Table struct {
 	seed maphash.Seed
-	// size is how many contents are known.
+	// size is the number of tracked contents.
 	size atomic.Int64
 
 	mu sync.Mutex
-	// failed has the first failure of each content at each target, served the last success of each target.
-	failed map[uint64]map[fleet.TargetID]time.Time
-	served map[fleet.TargetID]time.Time
+	// failures holds the time of the first failure of each content at each target, lastSuccess the time
+	// of the last success of each target.
+	failures    map[uint64]map[fleet.TargetID]time.Time
+	lastSuccess map[fleet.TargetID]time.Time
 }
 
-// New returns a table that knows nothing.
+// New returns an empty table.
 func New() *Table {
-	return &Table{seed: maphash.MakeSeed(), failed: make(map[uint64]map[fleet.TargetID]time.Time), served: make(map[fleet.TargetID]time.Time)}
+	return &Table{seed: maphash.MakeSeed(), failures: make(map[uint64]map[fleet.TargetID]time.Time), lastSuccess: make(map[fleet.TargetID]time.Time)}
 }
 
-// key names a content. It depends on a seed of the process, so that nobody can find two contents with one key.
+// key returns the hash of a content. It is seeded per process, so that nobody can construct two contents
+// with the same key.
 func (t *Table) key(c *quarantine.Content) uint64 {
 	var h maphash.Hash
 	h.SetSeed(t.seed)
 	for _, s := range [...]string{c.Method, c.Host, c.URI} {
-		_, _ = h.WriteString(s) // a hash takes every write
+		_, _ = h.WriteString(s) // a hash never returns an error
 		_ = h.WriteByte(0)
 	}
 	_, _ = h.Write(c.Body)
 	return h.Sum64()
 }
 
-// Failed takes in that a request failed at a target, and tells whether it is at fault.
-func (t *Table) Failed(now time.Time, c *quarantine.Content, target fleet.TargetID) bool {
+// RecordFailure records a failure of a request at a target, and reports whether the request is at fault.
+func (t *Table) RecordFailure(now time.Time, c *quarantine.Content, target fleet.TargetID) bool {
 	k := t.key(c)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at := t.failed[k]
+	at := t.failures[k]
 	if at == nil {
-		if len(t.failed) >= maxContents {
+		if len(t.failures) >= maxContents {
 			return false
 		}
 		at = make(map[fleet.TargetID]time.Time)
-		t.failed[k] = at
+		t.failures[k] = at
 		t.size.Add(1)
 	}
-	if _, known := at[target]; !known && len(at) < maxTargets {
+	if _, tracked := at[target]; !tracked && len(at) < maxTargets {
 		at[target] = now
 	}
 	return t.atFault(now, at)
 }
 
-// AtFault tells whether a request fails wherever it goes.
+// AtFault reports whether a request is at fault, rather than the targets at which it fails.
 func (t *Table) AtFault(now time.Time, c *quarantine.Content) bool {
 	if t.size.Load() == 0 {
 		return false
@@ -81,61 +83,60 @@
 	k := t.key(c)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.atFault(now, t.failed[k])
+	return t.atFault(now, t.failures[k])
 }
 
-// atFault tells whether enough targets at which a content failed serve others.
+// atFault reports whether a content failed at enough targets that serve other requests.
 func (t *Table) atFault(now time.Time, failed map[fleet.TargetID]time.Time) bool {
 	n := 0
 	for target, at := range failed {
-		if now.Sub(at) < rememberFor && t.served[target].After(at.Add(-soundFor)) {
+		if now.Sub(at) < failureRetention && t.lastSuccess[target].After(at.Add(-successLookback)) {
 			n++
 		}
 	}
-	return n >= enoughTargets
+	return n >= minFailedTargets
 }
 
-// Served takes in that a target served a request.
-func (t *Table) Served(now time.Time, c *quarantine.Content, target fleet.TargetID) {
-	known := t.size.Load() > 0
+// RecordSuccess records that a target served a request of this instance, and clears the request's failures.
+func (t *Table) RecordSuccess(now time.Time, c *quarantine.Content, target fleet.TargetID) {
+	tracked := t.size.Load() > 0
 	var k uint64
-	if known {
+	if tracked {
 		k = t.key(c)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.served[target] = now
-	if known {
-		t.drop(k)
+	t.lastSuccess[target] = now
+	if tracked {
+		t.remove(k)
 	}
 }
 
-// Sound takes in that a target served some request of another instance.
-func (t *Table) Sound(now time.Time, target fleet.TargetID) {
+// RecordTargetSuccess records that a target served a request of another instance.
+func (t *Table) RecordTargetSuccess(now time.Time, target fleet.TargetID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.served[target] = now
+	t.lastSuccess[target] = now
 }
 
-// Tick drops what is over.
-func (t *Table) Tick(now time.Time) {
+// Expire removes entries older than failureRetention.
+func (t *Table) Expire(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	over := func(_ fleet.TargetID, at time.Time) bool { return now.Sub(at) >= rememberFor }
-	maps.DeleteFunc(t.served, over)
-	for k, at := range t.failed {
-		maps.DeleteFunc(at, over)
+	expired := func(_ fleet.TargetID, at time.Time) bool { return now.Sub(at) >= failureRetention }
+	maps.DeleteFunc(t.lastSuccess, expired)
+	for k, at := range t.failures {
+		maps.DeleteFunc(at, expired)
 		if len(at) == 0 {
-			t.drop(k)
+			t.remove(k)
 		}
 	}
 }
 
-// drop forgets a content.
-func (t *Table) drop(k uint64) {
-	if t.failed[k] == nil {
+func (t *Table) remove(k uint64) {
+	if t.failures[k] == nil {
 		return
 	}
-	delete(t.failed, k)
+	delete(t.failures, k)
 	t.size.Add(-1)
 }
--- a/poison/table_test.go
+++ b/poison/table_test.go
@@ -21,78 +21,80 @@
 	return &quarantine.Content{Method: "GET", Host: "h", URI: uri}
 }
 
-// fail lets a request fail at targets, one a second, and tells whether it is at fault after each.
-func fail(x *Table, uri string, targets ...fleet.TargetID) (faults []bool) {
+// failAt records a failure of a request at each target, one a second, and returns the results of
+// RecordFailure.
+func failAt(x *Table, uri string, targets ...fleet.TargetID) (atFault []bool) {
 	for i, target := range targets {
-		faults = append(faults, x.Failed(at(float64(i)), contentOf(uri), target))
+		atFault = append(atFault, x.RecordFailure(at(float64(i)), contentOf(uri), target))
 	}
-	return faults
+	return atFault
 }
 
-func TestARequestThatFailsAtTargetsThatServeOthersIsAtFault(t *testing.T) {
+func TestRequestAtFaultAfterFailuresAtHealthyTargets(t *testing.T) {
 	x := New()
 	for _, target := range []fleet.TargetID{"a", "b", "c"} {
-		x.Served(start, contentOf("/other"), target)
+		x.RecordSuccess(start, contentOf("/other"), target)
 	}
-	assert.DeepEqual(t, fail(x, "/poison", "a", "a", "b", "c"), []bool{false, false, false, true})
+	assert.DeepEqual(t, failAt(x, "/poison", "a", "a", "b", "c"), []bool{false, false, false, true})
 	assert.Assert(t, x.AtFault(at(4), contentOf("/poison")))
 	assert.Assert(t, !x.AtFault(at(4), contentOf("/other")))
 	assert.Assert(t, !x.AtFault(at(70), contentOf("/poison")))
 }
 
-// TestTargetsThatServeNothingAreAtFaultThemselves: they may serve again later, which then speaks against the request.
-func TestTargetsThatServeNothingAreAtFaultThemselves(t *testing.T) {
+// TestFailuresAtUnhealthyTargetsDoNotCount: a failure counts against the request only once its target has
+// served another request.
+func TestFailuresAtUnhealthyTargetsDoNotCount(t *testing.T) {
 	x := New()
-	assert.DeepEqual(t, fail(x, "/poison", "a", "b", "c", "d"), []bool{false, false, false, false})
-	x.Served(start.Add(-soundFor-time.Second), contentOf("/other"), "a")
+	assert.DeepEqual(t, failAt(x, "/poison", "a", "b", "c", "d"), []bool{false, false, false, false})
+	x.RecordSuccess(start.Add(-successLookback-time.Second), contentOf("/other"), "a")
 	for _, target := range []fleet.TargetID{"b", "c"} {
-		x.Sound(at(5), target)
+		x.RecordTargetSuccess(at(5), target)
 	}
 	assert.Assert(t, !x.AtFault(at(5), contentOf("/poison")))
-	x.Sound(at(5), "d")
+	x.RecordTargetSuccess(at(5), "d")
 	assert.Assert(t, x.AtFault(at(5), contentOf("/poison")))
 }
 
-func TestASuccessClears(t *testing.T) {
+func TestSuccessClearsFailures(t *testing.T) {
 	x := New()
 	for _, target := range []fleet.TargetID{"a", "b", "c"} {
-		x.Sound(start, target)
+		x.RecordTargetSuccess(start, target)
 	}
-	fail(x, "/poison", "a", "b", "c")
-	x.Served(at(4), contentOf("/poison"), "d")
+	failAt(x, "/poison", "a", "b", "c")
+	x.RecordSuccess(at(4), contentOf("/poison"), "d")
 	assert.Assert(t, !x.AtFault(at(4), contentOf("/poison")))
 	assert.Equal(t, x.size.Load(), int64(0))
 }
 
-func TestTheTableIsBounded(t *testing.T) {
+func TestTableIsBounded(t *testing.T) {
 	x := New()
 	for n := range 2 * maxContents {
 		for m := range 2 * maxTargets {
-			x.Failed(start, contentOf(fmt.Sprint("/", n)), fleet.TargetID(fmt.Sprint(m)))
+			x.RecordFailure(start, contentOf(fmt.Sprint("/", n)), fleet.TargetID(fmt.Sprint(m)))
 		}
 	}
-	assert.Equal(t, len(x.failed), maxContents)
-	for _, failed := range x.failed {
+	assert.Equal(t, len(x.failures), maxContents)
+	for _, failed := range x.failures {
 		assert.Equal(t, len(failed), maxTargets)
 	}
-	x.Served(start, contentOf("/other"), "a")
-	x.Tick(start.Add(rememberFor))
-	assert.Equal(t, len(x.failed)+len(x.served), 0)
+	x.RecordSuccess(start, contentOf("/other"), "a")
+	x.Expire(start.Add(failureRetention))
+	assert.Equal(t, len(x.failures)+len(x.lastSuccess), 0)
 	assert.Equal(t, x.size.Load(), int64(0))
 }
 
-// BenchmarkServed is what each success costs while contents are known.
-func BenchmarkServed(b *testing.B) {
-	for _, known := range []int{0, maxContents} {
+// BenchmarkRecordSuccess measures the cost of a success without and with tracked contents.
+func BenchmarkRecordSuccess(b *testing.B) {
+	for _, tracked := range []int{0, maxContents} {
 		x := New()
-		for n := range known {
-			x.Failed(start, contentOf(fmt.Sprint("/", n)), "a")
+		for n := range tracked {
+			x.RecordFailure(start, contentOf(fmt.Sprint("/", n)), "a")
 		}
-		b.Run(fmt.Sprint(known, " known"), func(b *testing.B) {
+		b.Run(fmt.Sprint(tracked, " known"), func(b *testing.B) {
 			b.ReportAllocs()
 			c := contentOf("/other")
 			for b.Loop() {
-				x.Served(start, c, "a")
+				x.RecordSuccess(start, c, "a")
 			}
 		})
 	}
--- a/retry/pooled/budget_test.go
+++ b/retry/pooled/budget_test.go
@@ -12,7 +12,7 @@
 	config = Config{Ratio: 0.2, Slack: 58, Window: 10 * time.Second}
 )
 
-// settledBudget is that of a process that has run for long.
+// settledBudget returns the budget of a process that has run for long.
 func settledBudget() *Budget { return New(config, start.Add(-time.Hour)) }
 
 func spendAll(b *Budget, now time.Time, instances int) int {
@@ -23,62 +23,63 @@
 	return n
 }
 
-func TestAWindowTakesNoMoreThanTheBound(t *testing.T) {
+func TestWindowStaysWithinLimit(t *testing.T) {
 	b := settledBudget()
 	const perSecond = 30
 	requests, sum := 0, 0
 	for ms := 0; ms < 10_000; ms += 10 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
 		if ms*perSecond/1000 > requests {
-			b.Request(now, true)
+			b.RecordRequest(now, true)
 			requests++
 		}
 		sum += spendAll(b, now, 1)
 	}
-	bound := config.Ratio*float64(requests) + config.Slack
-	assert.Assert(t, float64(sum) <= bound, "%d of %v", sum, bound)
-	assert.Assert(t, float64(sum) >= 0.7*bound, "%d of %v", sum, bound)
+	limit := config.Ratio*float64(requests) + config.Slack
+	assert.Assert(t, float64(sum) <= limit, "%d of %v", sum, limit)
+	assert.Assert(t, float64(sum) >= 0.7*limit, "%d of %v", sum, limit)
 }
 
-// A restart does not refill what was spent: the process that follows knows nothing of it.
-func TestAProcessStartsWithAnEmptyBucket(t *testing.T) {
+// TestNewProcessStartsWithEmptyBucket: a restart must not refill spent tokens, since the new process has no
+// record of them.
+func TestNewProcessStartsWithEmptyBucket(t *testing.T) {
 	b := New(config, start)
 	assert.Equal(t, spendAll(b, start, 1), 0)
 	for range 30 {
-		b.Request(start, true)
+		b.RecordRequest(start, true)
 	}
-	assert.Equal(t, spendAll(b, start, 1), 2) // half of 0.2 of 30, less the safety
+	assert.Equal(t, spendAll(b, start, 1), 2) // half of 0.2 * 30, times safetyFactor
 	assert.Equal(t, spendAll(b, start.Add(config.Window/2), 1), 14)
-	assert.Equal(t, spendAll(b, start.Add(time.Hour), 0), 0, "how many share the slack is not known")
+	assert.Equal(t, spendAll(b, start.Add(time.Hour), 0), 0, "the number of instances that share the slack is unknown")
 }
 
-func TestALoanIsSpentByOneOfTheTwo(t *testing.T) {
+func TestLoanIsSpentOnce(t *testing.T) {
 	const instances = 4
-	alone := settledBudget().Left(start, instances)
+	alone := settledBudget().Available(start, instances)
 	lender, borrower := settledBudget(), settledBudget()
-	borrower.Asked(start)
-	borrower.Borrow(start, lender.Lend(start, instances, 2.5))
-	assert.Equal(t, lender.Left(start, instances), alone-2.5)
-	assert.Equal(t, borrower.Left(start, instances), alone+2.5)
+	borrower.LoanRequested(start)
+	borrower.ReceiveLoan(start, lender.Lend(start, instances, 2.5))
+	assert.Equal(t, lender.Available(start, instances), alone-2.5)
+	assert.Equal(t, borrower.Available(start, instances), alone+2.5)
 	assert.Equal(t, spendAll(borrower, start, instances), int(alone+2.5))
-	assert.Equal(t, borrower.Lend(start, instances, 5) < 1, true, "nothing whole is left")
-	assert.Equal(t, settledBudget().Lend(start, instances, 1000), alone/2, "half is kept")
+	assert.Equal(t, borrower.Lend(start, instances, 5) < 1, true, "less than one token is left")
+	assert.Equal(t, settledBudget().Lend(start, instances, 1000), alone/2, "the lender keeps half")
 }
 
-func TestALateLoanIsGivenUp(t *testing.T) {
+func TestLateLoanIsDiscarded(t *testing.T) {
 	const instances = 4
 	b := settledBudget()
-	alone := b.Left(start, instances)
-	b.Asked(start)
-	b.Borrow(start, 1)
-	after := start.Add(loanFor + time.Millisecond)
-	b.Borrow(after, 1)
-	assert.Equal(t, b.Left(after, instances), alone, "a full bucket holds no more")
+	alone := b.Available(start, instances)
+	b.LoanRequested(start)
+	b.ReceiveLoan(start, 1)
+	after := start.Add(loanTimeout + time.Millisecond)
+	b.ReceiveLoan(after, 1)
+	assert.Equal(t, b.Available(after, instances), alone, "late loans do not add to a full bucket")
 }
 
-func TestLessUrgentWorkLeavesARest(t *testing.T) {
+func TestNonUrgentAttemptsLeaveReserve(t *testing.T) {
 	b := settledBudget()
-	b.Request(start, true)
+	b.RecordRequest(start, true)
 	for b.Spend(start, 1, false) { // until it refuses
 	}
 	assert.Assert(t, b.Spend(start, 1, true))
@@ -86,5 +87,5 @@
 	alone := settledBudget()
 	for alone.Spend(start, 1, false) { // until it refuses
 	}
-	assert.Assert(t, !alone.Spend(start, 1, true), "where no request is urgent nothing is held back")
+	assert.Assert(t, !alone.Spend(start, 1, true), "nothing is reserved without urgent requests")
 }
--- a/retry/pooled/doc.go
+++ b/retry/pooled/doc.go
@@ -1,18 +1,16 @@
-// Package pooled bounds the attempts that a whole fleet adds to its requests, to
-// a ratio of the requests in a sliding window and a fixed slack.
+// Package pooled limits the attempts that a fleet adds to its requests: in a sliding window, to a ratio of
+// the requests plus a fixed slack.
 //
-// Each instance has a token bucket. Half of the bound is what the buckets of all
-// instances hold when they are full; the other half is what flows into them within a
-// window: for each request a part of the ratio, and with time an even part of the slack.
-// What leaves a bucket within a window is at most what was in it at its start
-// and what flowed in, so that the bound holds whatever the instances have heard of
-// each other. A process starts with an empty bucket, for an earlier one at its place may have
-// just spent what was in its own: restarts only leave attempts unused.
+// Each instance has a token bucket. Half of the limit is the capacity of all buckets together; the other half
+// flows into them within a window, as a part of the ratio for each request and an even share of the slack
+// over time. The tokens spent in a window are at most those in the bucket at its start and those that
+// flowed in, so that the limit holds whatever messages the instances have received from each other.
+// A process starts with an empty bucket, since its predecessor may have just spent its own: restarts only
+// leave attempts unused.
 //
-// An instance that runs short borrows from neighbours, parts of a token too, since in a
-// large fleet a bucket holds hardly more than one. The lender takes out what it lends before
-// it says so: a message that is late or lost, or a process that ends, again only leaves
-// attempts unused.
+// An instance that runs out of tokens borrows from neighbors. Loans may be fractions of a token, since a
+// bucket hardly holds more than one in a large fleet. The lender removes the tokens before it sends the
+// loan, so that late or lost messages and processes that end also only leave attempts unused.
 //
 // The package reads no clock and does no I/O.
 package pooled
--- a/retry/pooled/fleet_test.go
+++ b/retry/pooled/fleet_test.go
@@ -9,58 +9,58 @@
 	"gotest.tools/v3/assert"
 )
 
-// runs is raised for long runs by hand.
+// runs is raised for long manual runs.
 var runs = flag.Int("pooled.runs", 12, "seeded runs for each size of the fleet")
 
-// storm is a time in which a service sheds, for a whole fleet in one process.
-type storm struct {
+// fleetScenario configures the simulation of a whole fleet while a service sheds load.
+type fleetScenario struct {
 	cfg       Config
 	instances int
-	// perSecond is the fleet's requests; fails is the part of attempts that fail while
-	// the service sheds, at every so many-th instance only.
-	perSecond int
-	fails     float64
-	troubled  int
-	// lost is the part of the loans that do not arrive, late how long others take.
-	lost float64
-	late time.Duration
-	// killed is the part of the instances that start anew at each of the given steps.
-	killed float64
-	kills  []int
+	// requestsPerSecond is the load of the whole fleet. While the service sheds load, attempts fail with
+	// failureRate, at every affectedEvery-th instance only.
+	requestsPerSecond int
+	failureRate       float64
+	affectedEvery     int
+	// loanLossRate is the share of the loans that are lost, loanDelay the delay of the others.
+	loanLossRate float64
+	loanDelay    time.Duration
+	// restartRate is the share of the instances that restart at each of restartSteps.
+	restartRate  float64
+	restartSteps []int
 }
 
-// Steps of a storm: time passes by step; the service sheds from shedFrom to shedUntil.
+// Time advances by step. The service sheds load between the steps shedFrom and shedUntil.
 const (
-	askEvery  = 200 * time.Millisecond
-	step      = 20 * time.Millisecond
-	steps     = 2000
-	shedFrom  = 600
-	shedUntil = 1500
-	neighbour = 12 // instances that lend to each other
-	lenders   = 3  // of them are asked
+	loanRequestInterval = 200 * time.Millisecond
+	step                = 20 * time.Millisecond
+	steps               = 2000
+	shedFrom            = 600
+	shedUntil           = 1500
+	groupSize           = 12 // number of instances that lend to each other
+	lendersAsked        = 3  // number of instances from which a loan is requested
 )
 
-// loan is one that is on its way.
-type loan struct {
+// pendingLoan is a loan in transit; arrives is the step of its arrival.
+type pendingLoan struct {
 	to, arrives int
 	tokens      float64
 }
 
-// fleetRun is one run of a storm.
+// fleetRun is one run of a scenario.
 type fleetRun struct {
-	storm
-	rng      *rand.Rand
-	budgets  []*Budget
-	loans    []loan
-	askedAt  []int
-	requests []int
-	added    []int
-	// refused counts the attempts that were wanted and not allowed.
-	refused int
+	fleetScenario
+	rng             *rand.Rand
+	budgets         []*Budget
+	loans           []pendingLoan
+	lastLoanRequest []int
+	requests        []int
+	added           []int
+	// rejected counts the attempts that the budget did not allow.
+	rejected int
 }
 
-func play(s storm, seed uint64) *fleetRun {
-	r := &fleetRun{storm: s, rng: rand.New(rand.NewPCG(seed, 7)), askedAt: make([]int, s.instances)}
+func simulate(s fleetScenario, seed uint64) *fleetRun {
+	r := &fleetRun{fleetScenario: s, rng: rand.New(rand.NewPCG(seed, 7)), lastLoanRequest: make([]int, s.instances)}
 	for range s.instances {
 		r.budgets = append(r.budgets, New(s.cfg, start.Add(-time.Hour)))
 	}
@@ -72,91 +72,91 @@
 
 func (r *fleetRun) step(n int) {
 	now := start.Add(time.Duration(n) * step)
-	for _, k := range r.kills {
+	for _, k := range r.restartSteps {
 		if k == n {
-			r.kill(now)
+			r.restart(now)
 		}
 	}
 	r.deliver(now, n)
 	r.requests, r.added = append(r.requests, 0), append(r.added, 0)
-	due := float64(r.perSecond) * step.Seconds()
+	due := float64(r.requestsPerSecond) * step.Seconds()
 	for range int(due + r.rng.Float64()) {
 		r.request(now, n, r.rng.IntN(r.instances))
 	}
 }
 
-func (r *fleetRun) kill(now time.Time) {
+func (r *fleetRun) restart(now time.Time) {
 	for i := range r.budgets {
-		if r.rng.Float64() < r.killed {
+		if r.rng.Float64() < r.restartRate {
 			r.budgets[i] = New(r.cfg, now)
 		}
 	}
 }
 
 func (r *fleetRun) deliver(now time.Time, n int) {
-	var left []loan
+	var left []pendingLoan
 	for _, l := range r.loans {
 		if l.arrives > n {
 			left = append(left, l)
 			continue
 		}
-		r.budgets[l.to].Borrow(now, l.tokens)
+		r.budgets[l.to].ReceiveLoan(now, l.tokens)
 	}
 	r.loans = left
 }
 
 func (r *fleetRun) request(now time.Time, n, i int) {
-	const mostAdded = 3
-	r.budgets[i].Request(now, true)
+	const maxAdded = 3
+	r.budgets[i].RecordRequest(now, true)
 	r.requests[n]++
-	for range mostAdded {
-		if n < shedFrom || n >= shedUntil || i%r.troubled != 0 || r.rng.Float64() >= r.fails {
+	for range maxAdded {
+		if n < shedFrom || n >= shedUntil || i%r.affectedEvery != 0 || r.rng.Float64() >= r.failureRate {
 			return
 		}
 		if !r.spend(now, n, i) {
-			r.refused++
+			r.rejected++
 			return
 		}
 		r.added[n]++
 	}
 }
 
-// spend takes an attempt out of the instance's budget, after a loan if that is needed.
+// spend takes an attempt out of the instance's budget, after a loan if needed.
 func (r *fleetRun) spend(now time.Time, n, i int) bool {
 	if r.budgets[i].Spend(now, r.instances, true) {
 		return true
 	}
-	r.ask(now, n, i)
+	r.requestLoans(now, n, i)
 	return r.budgets[i].Spend(now, r.instances, true)
 }
 
-// ask makes neighbours lend.
-func (r *fleetRun) ask(now time.Time, n, i int) {
-	if n-r.askedAt[i] < int(askEvery/step) {
+// requestLoans requests loans from neighbors.
+func (r *fleetRun) requestLoans(now time.Time, n, i int) {
+	if n-r.lastLoanRequest[i] < int(loanRequestInterval/step) {
 		return
 	}
-	r.askedAt[i] = n
-	r.budgets[i].Asked(now)
-	group := i / neighbour * neighbour
-	for range lenders {
-		j := group + r.rng.IntN(min(neighbour, r.instances-group))
+	r.lastLoanRequest[i] = n
+	r.budgets[i].LoanRequested(now)
+	group := i / groupSize * groupSize
+	for range lendersAsked {
+		j := group + r.rng.IntN(min(groupSize, r.instances-group))
 		if j == i {
 			continue
 		}
 		lent := r.budgets[j].Lend(now, r.instances, 1)
 		switch {
-		case r.rng.Float64() < r.lost:
-		case r.late == 0:
-			r.budgets[i].Borrow(now, lent)
+		case r.rng.Float64() < r.loanLossRate:
+		case r.loanDelay == 0:
+			r.budgets[i].ReceiveLoan(now, lent)
 		default:
-			r.loans = append(r.loans, loan{i, n + 1 + int(r.late/step), lent})
+			r.loans = append(r.loans, pendingLoan{i, n + 1 + int(r.loanDelay/step), lent})
 		}
 	}
 }
 
-// worst is the most that any window held beyond the bound, where requests count for the
-// window, the one before or the one half a window before, whichever has most.
-func (r *fleetRun) worst() float64 {
+// maxExcess returns by how much the added attempts in any window exceed the limit. Requests are counted in
+// the same window, the previous one or the one half a window before, whichever has most.
+func (r *fleetRun) maxExcess() float64 {
 	window := int(r.cfg.Window / step)
 	sums := func(xs []int) []int {
 		total := make([]int, len(xs)+1)
@@ -166,18 +166,18 @@
 		return total
 	}
 	requests, added := sums(r.requests), sums(r.added)
-	worst := -r.cfg.Slack
+	excess := -r.cfg.Slack
 	for end := 2 * window; end <= steps; end++ {
-		most := 0
+		maxRequests := 0
 		for _, before := range []int{0, window / 2, window} {
-			most = max(most, requests[end-before]-requests[end-before-window])
+			maxRequests = max(maxRequests, requests[end-before]-requests[end-before-window])
 		}
-		worst = max(worst, float64(added[end]-added[end-window])-r.cfg.Ratio*float64(most)-r.cfg.Slack)
+		excess = max(excess, float64(added[end]-added[end-window])-r.cfg.Ratio*float64(maxRequests)-r.cfg.Slack)
 	}
-	return worst
+	return excess
 }
 
-func (r *fleetRun) addedInAll() int {
+func (r *fleetRun) totalAdded() int {
 	sum := 0
 	for _, n := range r.added {
 		sum += n
@@ -185,51 +185,51 @@
 	return sum
 }
 
-// sizes are fleets with their requests a second for one service and their slack.
-var sizes = []storm{
-	{cfg: Config{Ratio: 0.2, Slack: 58, Window: 10 * time.Second}, instances: 36, perSecond: 60},
-	{cfg: Config{Ratio: 0.2, Slack: 430, Window: 10 * time.Second}, instances: 293, perSecond: 1250},
-	{cfg: Config{Ratio: 0.2, Slack: 1350, Window: 10 * time.Second}, instances: 920, perSecond: 4000},
+// fleetSizes are fleets with the load and the slack of one service.
+var fleetSizes = []fleetScenario{
+	{cfg: Config{Ratio: 0.2, Slack: 58, Window: 10 * time.Second}, instances: 36, requestsPerSecond: 60},
+	{cfg: Config{Ratio: 0.2, Slack: 430, Window: 10 * time.Second}, instances: 293, requestsPerSecond: 1250},
+	{cfg: Config{Ratio: 0.2, Slack: 1350, Window: 10 * time.Second}, instances: 920, requestsPerSecond: 4000},
 }
 
-// TestTheBoundHoldsWhateverIsHeard: a service shed half of its work while a sixth of 293
-// instances lost power and came back; 3,254 attempts were added within a window whose bound
-// was 2,930. The budget was one pool, less what each instance had heard that others spent, by
-// heartbeats and by digests of zones that came late, or from processes that had not seen
-// the window themselves.
+// TestLimitHoldsWithLostMessagesAndRestarts guards against a limit that depends on what instances have heard
+// of each other. With a single pool, less what each instance had heard that others spent, 3,254 attempts
+// were added within a window with a limit of 2,930: a service shed half of its load while a sixth of 293
+// instances lost power and came back, and the reports of spending came late, or from processes that had not
+// seen the whole window.
 //
-// Here all instances are short at once, loans are lost or late, and instances are killed
-// twice within a window.
-func TestTheBoundHoldsWhateverIsHeard(t *testing.T) {
-	for _, size := range sizes {
+// All instances run out of tokens at once, loans are lost or late, and instances are restarted twice within
+// a window.
+func TestLimitHoldsWithLostMessagesAndRestarts(t *testing.T) {
+	for _, size := range fleetSizes {
 		for seed := range uint64(*runs) {
 			s := size
-			s.fails, s.troubled = 0.55, 1
-			s.lost, s.late = float64(seed%3)*0.3, time.Duration(seed%4)*500*time.Millisecond
-			s.killed, s.kills = float64(seed%5)*0.25, []int{shedFrom + 50 + int(seed%7)*40, shedFrom + 350 + int(seed%3)*20}
-			r := play(s, seed)
-			assert.Assert(t, r.worst() <= 0, "%d instances, seed %d: %.0f beyond the bound", s.instances, seed, r.worst())
+			s.failureRate, s.affectedEvery = 0.55, 1
+			s.loanLossRate, s.loanDelay = float64(seed%3)*0.3, time.Duration(seed%4)*500*time.Millisecond
+			s.restartRate, s.restartSteps = float64(seed%5)*0.25, []int{shedFrom + 50 + int(seed%7)*40, shedFrom + 350 + int(seed%3)*20}
+			r := simulate(s, seed)
+			assert.Assert(t, r.maxExcess() <= 0, "%d instances, seed %d: %.0f beyond the limit", s.instances, seed, r.maxExcess())
 		}
 	}
 }
 
-// TestTheBudgetIsPutToUse: where the whole service sheds nearly all of the bound is spent,
-// and where few instances need more than their share they borrow it.
-func TestTheBudgetIsPutToUse(t *testing.T) {
-	for _, size := range sizes {
+// TestBudgetIsUsed: nearly all of the limit is spent where the whole service sheds load, and instances
+// borrow where few of them need more than their share.
+func TestBudgetIsUsed(t *testing.T) {
+	for _, size := range fleetSizes {
 		all := size
-		all.fails, all.troubled = 0.55, 1
-		bound := all.cfg.Slack + all.cfg.Ratio*float64(all.perSecond)*all.cfg.Window.Seconds()
-		used := 1 + play(all, 1).worst()/bound
-		t.Logf("%d instances: %.2f of the bound used", all.instances, used)
+		all.failureRate, all.affectedEvery = 0.55, 1
+		limit := all.cfg.Slack + all.cfg.Ratio*float64(all.requestsPerSecond)*all.cfg.Window.Seconds()
+		used := 1 + simulate(all, 1).maxExcess()/limit
+		t.Logf("%d instances: %.2f of the limit used", all.instances, used)
 		assert.Assert(t, used > 0.7 && used < 1)
 
 		few := size
-		few.fails, few.troubled = 0.2, 8
-		lent, alone := play(few, 1), few
-		alone.lost = 1
-		refused := play(alone, 1).refused
-		t.Logf("%d instances: %d added and %d refused, %d refused without loans", few.instances, lent.addedInAll(), lent.refused, refused)
-		assert.Assert(t, 2*lent.refused < refused)
+		few.failureRate, few.affectedEvery = 0.2, 8
+		withLoans, withoutLoans := simulate(few, 1), few
+		withoutLoans.loanLossRate = 1
+		rejected := simulate(withoutLoans, 1).rejected
+		t.Logf("%d instances: %d added and %d rejected, %d rejected without loans", few.instances, withLoans.totalAdded(), withLoans.rejected, rejected)
+		assert.Assert(t, 2*withLoans.rejected < rejected)
 	}
 }
--- a/suspicion/estimator.go
+++ b/suspicion/estimator.go
@@ -7,415 +7,418 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// Observation is what one attempt said of its target.
+// Observation is the outcome of an attempt, as evidence of the health of its target.
+// Values are sent between instances.
 type Observation uint8
 
 const (
-	// Good is a success.
-	Good Observation = iota + 1
-	// Bad is an answer of failure, a reset or a cut or forged answer.
-	Bad
-	// Slow is an attempt that is open for longer than nearly all others.
+	// Success is a successful attempt.
+	Success Observation = iota + 1
+	// Failure is a failed request: a failure response, a reset, or a cut or forged response.
+	Failure
+	// Slow is an attempt that has been open for longer than nearly all others.
 	Slow
-	// Unreachable is a connection that did not come about.
+	// Unreachable is a connection that could not be established.
 	Unreachable
-	// Rested is a break that came at once on a connection that had been idle: the
-	// target may be sick, or may have forgotten the connection.
-	Rested
-	// Down is a connection that was refused: no process listens.
-	Down
-	// Elsewhere is an answer by another target at the address.
-	Elsewhere
-	// Quick is a failure that came much sooner than work takes: the target failed
-	// it without trying. A sound target's failures take as long as its work.
-	Quick
+	// IdleReset is an immediate break of a connection that had been idle: the target may be
+	// unhealthy, or may have dropped the connection.
+	IdleReset
+	// ConnRefused is a refused connection: no process listens.
+	ConnRefused
+	// WrongTarget is a response from another target at the address.
+	WrongTarget
+	// QuickFailure is a failure that came much sooner than a usual response. Failures of
+	// healthy targets take as long as their work.
+	QuickFailure
 )
 
 var observationNames = map[Observation]string{
-	Good: "good", Bad: "bad", Slow: "slow", Unreachable: "unreachable", Rested: "rested-break",
-	Down: "down", Elsewhere: "elsewhere", Quick: "quick-failure",
+	Success: "good", Failure: "bad", Slow: "slow", Unreachable: "unreachable", IdleReset: "rested-break",
+	ConnRefused: "down", WrongTarget: "elsewhere", QuickFailure: "quick-failure",
 }
 
-// String names the observation as logs write it.
+// String returns the name of the observation in logs.
 func (o Observation) String() string { return observationNames[o] }
 
-// Failed tells whether the observation is a failure that the target answered with.
-func (o Observation) Failed() bool { return o == Bad || o == Quick }
+// IsFailure reports whether the observation is Failure or QuickFailure.
+func (o Observation) IsFailure() bool { return o == Failure || o == QuickFailure }
 
-// quickShare is the part of the usual duration below which a failure did not come from
-// the work itself.
-const quickShare = 0.15
+// quickFailureRatio is the fraction of the usual duration below which a failure is quick.
+const quickFailureRatio = 0.15
 
-// Failure is the observation of a failure that came after the given time, where work
-// usually takes so long.
-func Failure(took, usual time.Duration) Observation {
-	if float64(took) < quickShare*float64(usual) {
-		return Quick
+// ClassifyFailure returns the observation for a failure after the duration took, at a service whose
+// requests usually take the duration usual.
+func ClassifyFailure(took, usual time.Duration) Observation {
+	if float64(took) < quickFailureRatio*float64(usual) {
+		return QuickFailure
 	}
-	return Bad
+	return Failure
 }
 
 // Priors of the learned rates. The pseudo counts are small, so that some tens of
 // observations outweigh them.
 const (
-	priorSickFails   = 0.8
-	priorSickCount   = 20
-	priorSoundFails  = 0.015
-	priorSoundCount  = 200
-	priorSickQuick   = 0.3
-	priorSoundQuick  = 0.15
-	priorSickSlow    = 0.3
-	priorSoundSlow   = 0.04
-	priorBout        = 7 * time.Second
-	priorSoundSpell  = 35 * time.Second
-	priorSpellsCount = 4
+	priorUnhealthyFailureRate = 0.8
+	priorUnhealthyAttempts    = 20
+	priorHealthyFailureRate   = 0.015
+	priorHealthyAttempts      = 200
+	priorUnhealthyQuickShare  = 0.3
+	priorHealthyQuickShare    = 0.15
+	priorUnhealthySlowRate    = 0.3
+	priorHealthySlowRate      = 0.04
+	priorUnhealthyPeriod      = 7 * time.Second
+	priorHealthyPeriod        = 35 * time.Second
+	priorPeriods              = 4
 )
 
-// Likelihood ratios, sick to sound, of observations whose rates are not learned.
+// Likelihood ratios, unhealthy to healthy, of observations whose rates are not learned.
 const (
-	// unreachableRatio: single instances lose the path to healthy targets too.
+	// unreachableRatio is low since single instances lose the path to healthy targets too.
 	unreachableRatio = 3
-	// goneRatio: a target that is there neither refuses connections nor lets
-	// another one answer.
-	goneRatio = 500
+	// absentTargetRatio applies where the target's process does not listen at its address: a
+	// running target neither refuses connections nor lets another one respond.
+	absentTargetRatio = 500
 )
 
-// Thresholds of the learned lengths of bouts and spells, and of logs.
+// Thresholds and bounds of the estimates and the learned rates.
 const (
-	// Suspected is the probability from which a target counts as sick.
-	Suspected = 0.5
-	// Cleared is the probability under which it counts as sound again.
-	Cleared = 0.25
-	// confirming is how many failures make a suspicion a bout: a single one is
-	// more often a sound target's.
-	confirming = 2
-	// longestGap bounds the time between two observations that counts for
-	// the learned rates: what happened in a longer one is not known.
-	longestGap = 4 * time.Second
-	// ceiling and floor keep a long run of equal observations from making the
-	// estimate deaf to the next one.
-	ceiling = 0.98
-	floor   = 0.003
+	// SuspectThreshold is the probability from which a target counts as unhealthy.
+	SuspectThreshold = 0.5
+	// ClearThreshold is the probability below which it counts as healthy again.
+	ClearThreshold = 0.25
+	// minConfirmingFailures is the number of failures that make a suspicion an unhealthy period:
+	// a single failure more often comes from a healthy target.
+	minConfirmingFailures = 2
+	// maxObservationGap bounds the time between two observations that counts for the learned
+	// periods: the target's state during a longer gap is unknown.
+	maxObservationGap = 4 * time.Second
+	// minEstimate and maxEstimate bound the estimate, so that it still responds to the next
+	// observation after a long run of equal ones.
+	maxEstimate = 0.98
+	minEstimate = 0.003
 )
 
-// target is the state of one target.
+// target is the state of one target. Times are zero until the first observation of their kind.
 type target struct {
-	sick      float64
-	at        time.Time
-	lastBad   time.Time
-	lastGood  time.Time
-	suspected bool
-	bads      int // since it is suspected
-	// boutTime is the time in seconds between these.
-	boutTime float64
+	// unhealthy is the probability that the target is unhealthy, as of updatedAt.
+	unhealthy float64
+	updatedAt time.Time
+	// lastFailure is the time of the latest observation other than Success.
+	lastFailure time.Time
+	lastSuccess time.Time
+	suspected   bool
+	failures    int // since the estimate was last below ClearThreshold
+	// unhealthySeconds is the sum of the times between these failures.
+	unhealthySeconds float64
 }
 
-// Estimator holds the estimates of one service's targets. It belongs to one
-// goroutine at a time.
+// Estimator holds the estimates of one service's targets. It is not safe for concurrent use.
 type Estimator struct {
 	targets map[fleet.TargetID]*target
 
-	sickFails, sickSlow, sickCount    float64
-	soundFails, soundSlow, soundCount float64
-	// sickQuick and soundQuick are the part of the failures that were quick.
-	sickQuick, soundQuick float64
-	// sickTime is the time in seconds between failures of bouts that ended, soundTime
-	// that between successes; ends and onsets are how many bouts ended and began.
-	sickTime, ends    float64
-	soundTime, onsets float64
-	slowLately        recent
-	failedLately      recent
+	// Attempts at unhealthy and at healthy targets, and how many of them failed or were slow.
+	// An attempt counts for both, weighted by the target's estimate. All start with the priors.
+	unhealthyFailures, unhealthySlow, unhealthyAttempts float64
+	healthyFailures, healthySlow, healthyAttempts       float64
+	// unhealthyQuick and healthyQuick are how many of the failures were quick.
+	unhealthyQuick, healthyQuick float64
+	// unhealthySeconds is the time between failures of unhealthy periods that ended, healthySeconds
+	// that between successes; recoveries and onsets count the unhealthy periods that ended and began.
+	unhealthySeconds, recoveries float64
+	healthySeconds, onsets       float64
+	recentSlow                   movingShare
+	recentFailures               movingShare
 }
 
-// New returns an estimator that has seen nothing.
+// New returns an estimator without observations.
 func New() *Estimator {
 	return &Estimator{
-		targets:    make(map[fleet.TargetID]*target),
-		sickFails:  priorSickFails * priorSickCount,
-		sickCount:  priorSickCount,
-		soundFails: priorSoundFails * priorSoundCount,
-		soundCount: priorSoundCount,
-		sickQuick:  priorSickQuick * priorSickFails * priorSickCount,
-		soundQuick: priorSoundQuick * priorSoundFails * priorSoundCount,
-		sickSlow:   priorSickSlow * priorSickCount,
-		soundSlow:  priorSoundSlow * priorSoundCount,
-		sickTime:   priorBout.Seconds() * priorSpellsCount,
-		ends:       priorSpellsCount,
-		soundTime:  priorSoundSpell.Seconds() * priorSpellsCount,
-		onsets:     priorSpellsCount,
+		targets:           make(map[fleet.TargetID]*target),
+		unhealthyFailures: priorUnhealthyFailureRate * priorUnhealthyAttempts,
+		unhealthyAttempts: priorUnhealthyAttempts,
+		healthyFailures:   priorHealthyFailureRate * priorHealthyAttempts,
+		healthyAttempts:   priorHealthyAttempts,
+		unhealthyQuick:    priorUnhealthyQuickShare * priorUnhealthyFailureRate * priorUnhealthyAttempts,
+		healthyQuick:      priorHealthyQuickShare * priorHealthyFailureRate * priorHealthyAttempts,
+		unhealthySlow:     priorUnhealthySlowRate * priorUnhealthyAttempts,
+		healthySlow:       priorHealthySlowRate * priorHealthyAttempts,
+		unhealthySeconds:  priorUnhealthyPeriod.Seconds() * priorPeriods,
+		recoveries:        priorPeriods,
+		healthySeconds:    priorHealthyPeriod.Seconds() * priorPeriods,
+		onsets:            priorPeriods,
 	}
 }
 
-// Rates are the learned parameters.
+// Rates are the learned parameters of the model.
 type Rates struct {
-	// SickFails and SoundFails are the parts of work that fail.
-	SickFails, SoundFails float64
-	// SickQuick and SoundQuick are the parts of the failures that are quick.
-	SickQuick, SoundQuick float64
-	// SickSlow and SoundSlow are the parts that are slow.
-	SickSlow, SoundSlow float64
-	// Bout and Spell are the mean lengths of a sick and of a sound time.
-	Bout, Spell time.Duration
+	// Shares of attempts that fail.
+	UnhealthyFailureRate, HealthyFailureRate float64
+	// Shares of failures that are quick.
+	UnhealthyQuickShare, HealthyQuickShare float64
+	// Shares of attempts that are slow.
+	UnhealthySlowRate, HealthySlowRate float64
+	// Mean lengths of unhealthy and healthy periods.
+	UnhealthyPeriod, HealthyPeriod time.Duration
 }
 
-// Rates returns what was learned so far.
+// Rates returns the parameters as learned so far.
 func (e *Estimator) Rates() Rates {
 	return Rates{
-		SickFails:  e.sickFails / e.sickCount,
-		SoundFails: e.soundFails / e.soundCount,
-		SickQuick:  e.sickQuick / e.sickFails,
-		SoundQuick: e.soundQuick / e.soundFails,
-		SickSlow:   e.sickSlow / e.sickCount,
-		SoundSlow:  e.soundSlow / e.soundCount,
-		Bout:       seconds(e.sickTime / e.ends),
-		Spell:      seconds(e.soundTime / e.onsets),
+		UnhealthyFailureRate: e.unhealthyFailures / e.unhealthyAttempts,
+		HealthyFailureRate:   e.healthyFailures / e.healthyAttempts,
+		UnhealthyQuickShare:  e.unhealthyQuick / e.unhealthyFailures,
+		HealthyQuickShare:    e.healthyQuick / e.healthyFailures,
+		UnhealthySlowRate:    e.unhealthySlow / e.unhealthyAttempts,
+		HealthySlowRate:      e.healthySlow / e.healthyAttempts,
+		UnhealthyPeriod:      seconds(e.unhealthySeconds / e.recoveries),
+		HealthyPeriod:        seconds(e.healthySeconds / e.onsets),
 	}
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// recent is a part of the service's last attempts.
-type recent struct {
+// movingShare is an exponential moving average of the share of a service's attempts that have
+// some property.
+type movingShare struct {
 	share float64
 	at    time.Time
 }
 
-// recentFor is the time constant of recent.
-const recentFor = 2 * time.Second
+const movingShareTimeConstant = 2 * time.Second
 
-// add takes in an observation. Its weight grows with the time since the last one, so
-// that the share does not depend on how many there are.
-func (r *recent) add(now time.Time, o Observation, counts bool) {
-	if o != Good && !o.Failed() && o != Slow {
+// add records an observation; matches reports whether it has the property. Its weight grows with
+// the time since the previous one, so that the average does not depend on the request rate.
+func (r *movingShare) add(now time.Time, o Observation, matches bool) {
+	if o != Success && !o.IsFailure() && o != Slow {
 		return
 	}
 	x := 0.0
-	if counts {
+	if matches {
 		x = 1
 	}
-	weight := 1 - math.Exp(-max(now.Sub(r.at).Seconds(), 0.02)/recentFor.Seconds())
+	weight := 1 - math.Exp(-max(now.Sub(r.at).Seconds(), 0.02)/movingShareTimeConstant.Seconds())
 	r.share += weight * (x - r.share)
 	r.at = now
 }
 
-// FailedLately is the part of the service's attempts that failed within about the
-// last 2 s.
-func (e *Estimator) FailedLately() float64 { return e.failedLately.share }
+// RecentFailureRate returns the share of the service's attempts that failed within about the last
+// 2 s.
+func (e *Estimator) RecentFailureRate() float64 { return e.recentFailures.share }
 
-// Change tells how an observation changed what is believed of a target.
+// Change is the effect of an observation on the suspected state of a target.
 type Change uint8
 
 const (
-	// None: no threshold was passed.
-	None Change = iota
-	// NowSuspected: the target counts as sick from now on.
-	NowSuspected
-	// NowCleared: the target counts as sound again.
-	NowCleared
+	// Unchanged means that no threshold was passed.
+	Unchanged Change = iota
+	// BecameSuspected means that the target counts as unhealthy from now on.
+	BecameSuspected
+	// BecameCleared means that the target counts as healthy again.
+	BecameCleared
 )
 
-// Observe takes in an observation of an attempt that began at the given time.
-// It returns the probability that the target is sick, before and after.
+// Observe records an observation of an attempt that began at the given time. It returns the
+// probability that the target is unhealthy, before and after.
 func (e *Estimator) Observe(now time.Time, id fleet.TargetID, o Observation, began time.Time) (before, after float64, c Change) {
 	t := e.target(now, id)
-	e.drift(now, t)
-	e.slowLately.add(now, o, o == Slow)
-	e.failedLately.add(now, o, o.Failed())
+	e.decay(now, t)
+	e.recentSlow.add(now, o, o == Slow)
+	e.recentFailures.add(now, o, o.IsFailure())
 	e.learnSlow(t, o)
-	return e.update(now, t, o, e.ratio(t, o, began))
+	return e.update(now, t, o, e.likelihoodRatio(t, o, began))
 }
 
-// ObserveRested takes in a Rested break, where the given part of the connections that
-// rested as long is stale: the rarer that is, the more the break says of the target.
-func (e *Estimator) ObserveRested(now time.Time, id fleet.TargetID, stale float64) (before, after float64, c Change) {
+// ObserveIdleReset records an IdleReset, where stale is the share of connections idle for as long
+// that are stale. The lower that share is, the stronger the evidence against the target.
+func (e *Estimator) ObserveIdleReset(now time.Time, id fleet.TargetID, stale float64) (before, after float64, c Change) {
 	t := e.target(now, id)
-	e.drift(now, t)
-	sick, sound := e.sickQuick/e.sickCount, e.soundQuick/e.soundCount
-	return e.update(now, t, Rested, (stale+(1-stale)*sick)/(stale+(1-stale)*sound))
+	e.decay(now, t)
+	unhealthy, healthy := e.unhealthyQuick/e.unhealthyAttempts, e.healthyQuick/e.healthyAttempts
+	return e.update(now, t, IdleReset, (stale+(1-stale)*unhealthy)/(stale+(1-stale)*healthy))
 }
 
-// update moves the target's estimate by the likelihood ratio of an observation.
+// update applies the likelihood ratio of an observation to the target's estimate.
 func (e *Estimator) update(now time.Time, t *target, o Observation, ratio float64) (before, after float64, c Change) {
-	before = t.sick
-	odds := t.sick / (1 - t.sick) * ratio
-	t.sick = min(max(odds/(1+odds), floor), ceiling)
+	before = t.unhealthy
+	odds := t.unhealthy / (1 - t.unhealthy) * ratio
+	t.unhealthy = min(max(odds/(1+odds), minEstimate), maxEstimate)
 	e.learnFailures(t, o)
-	e.learnTimes(now, t, o)
-	return before, t.sick, e.learnBouts(now, t)
+	e.learnDurations(now, t, o)
+	return before, t.unhealthy, e.updateSuspected(now, t)
 }
 
 func (e *Estimator) target(now time.Time, id fleet.TargetID) *target {
 	t := e.targets[id]
 	if t == nil {
-		t = &target{sick: e.longRun(), at: now}
+		t = &target{unhealthy: e.longRunUnhealthy(), updatedAt: now}
 		e.targets[id] = t
 	}
 	return t
 }
 
-// ratio is the likelihood ratio of the observation, sick to sound.
-func (e *Estimator) ratio(t *target, o Observation, began time.Time) float64 {
+// likelihoodRatio returns the likelihood ratio of the observation, unhealthy to healthy.
+func (e *Estimator) likelihoodRatio(t *target, o Observation, began time.Time) float64 {
 	r := e.Rates()
 	switch o {
-	case Good:
-		if began.Before(t.lastBad) {
-			// The work began before the latest failure and says nothing of
-			// the time since.
+	case Success:
+		if began.Before(t.lastFailure) {
+			// The attempt began before the latest failure and is no evidence of
+			// the target's health since.
 			return 1
 		}
-		return (1 - r.SickFails) / (1 - r.SoundFails)
-	case Bad:
-		return r.SickFails * (1 - r.SickQuick) / (r.SoundFails * (1 - r.SoundQuick))
-	case Quick:
-		return r.SickFails * r.SickQuick / (r.SoundFails * r.SoundQuick)
+		return (1 - r.UnhealthyFailureRate) / (1 - r.HealthyFailureRate)
+	case Failure:
+		return r.UnhealthyFailureRate * (1 - r.UnhealthyQuickShare) / (r.HealthyFailureRate * (1 - r.HealthyQuickShare))
+	case QuickFailure:
+		return r.UnhealthyFailureRate * r.UnhealthyQuickShare / (r.HealthyFailureRate * r.HealthyQuickShare)
 	case Slow:
-		// Where the whole service is slow, no target stands out.
-		return max(r.SickSlow/max(r.SoundSlow, e.slowLately.share), 1)
+		// While the whole service is slow, slowness is no evidence against single targets.
+		return max(r.UnhealthySlowRate/max(r.HealthySlowRate, e.recentSlow.share), 1)
 	case Unreachable:
 		return unreachableRatio
-	case Down, Elsewhere:
-		return goneRatio
+	case ConnRefused, WrongTarget:
+		return absentTargetRatio
 	}
 	return 1
 }
 
 func (e *Estimator) learnFailures(t *target, o Observation) {
-	if o != Good && !o.Failed() {
+	if o != Success && !o.IsFailure() {
 		return
 	}
 	failed := 0.0
-	if o.Failed() {
+	if o.IsFailure() {
 		failed = 1
 	}
-	if o == Quick {
-		e.sickQuick += t.sick
-		e.soundQuick += 1 - t.sick
+	if o == QuickFailure {
+		e.unhealthyQuick += t.unhealthy
+		e.healthyQuick += 1 - t.unhealthy
 	}
-	e.sickCount += t.sick
-	e.sickFails += t.sick * failed
-	e.soundCount += 1 - t.sick
-	e.soundFails += (1 - t.sick) * failed
+	e.unhealthyAttempts += t.unhealthy
+	e.unhealthyFailures += t.unhealthy * failed
+	e.healthyAttempts += 1 - t.unhealthy
+	e.healthyFailures += (1 - t.unhealthy) * failed
 }
 
-// learnSlow counts with the probability from before the observation: slowness alone
-// must not teach that it means sickness.
+// learnSlow weights by the estimate from before the observation, so that slowness does not
+// reinforce its own association with unhealthy targets.
 func (e *Estimator) learnSlow(t *target, o Observation) {
 	if o != Slow {
 		return
 	}
-	e.sickSlow += t.sick
-	e.soundSlow += 1 - t.sick
+	e.unhealthySlow += t.unhealthy
+	e.healthySlow += 1 - t.unhealthy
 }
 
-// learnTimes adds the time since the last observation of the same kind to that of
-// bouts or of sound spells. What is between a success and a failure is not known.
-func (e *Estimator) learnTimes(now time.Time, t *target, o Observation) {
+// learnDurations adds the time since the previous observation of the same kind to the time in
+// unhealthy or in healthy periods. The state between a success and a failure is unknown.
+func (e *Estimator) learnDurations(now time.Time, t *target, o Observation) {
 	switch o {
-	case Good:
-		if gap := now.Sub(t.lastGood); gap < longestGap && !t.lastBad.After(t.lastGood) {
-			e.soundTime += gap.Seconds()
+	case Success:
+		if gap := now.Sub(t.lastSuccess); gap < maxObservationGap && !t.lastFailure.After(t.lastSuccess) {
+			e.healthySeconds += gap.Seconds()
 		}
-		t.lastGood = now
+		t.lastSuccess = now
 		return
-	case Bad, Quick:
-		if gap := now.Sub(t.lastBad); t.suspected && t.bads > 0 && gap < longestGap {
-			t.boutTime += gap.Seconds()
+	case Failure, QuickFailure:
+		if gap := now.Sub(t.lastFailure); t.suspected && t.failures > 0 && gap < maxObservationGap {
+			t.unhealthySeconds += gap.Seconds()
 		}
-		t.bads++
-		if t.bads == confirming {
+		t.failures++
+		if t.failures == minConfirmingFailures {
 			e.onsets++
 		}
 	}
-	t.lastBad = now
+	t.lastFailure = now
 }
 
-// learnBouts counts a confirmed bout and its length at its end, both at once: sick targets get
-// no work, so that ends are seen late, and bouts that are not over yet would make the others
-// seem longer, the more targets there are.
-func (e *Estimator) learnBouts(now time.Time, t *target) Change {
+// updateSuspected updates the suspected state. It counts a confirmed unhealthy period and its length
+// together at the period's end: unhealthy targets get few requests, so that ends are seen late, and
+// counting periods that are not over yet would lengthen the learned mean, the more targets there are.
+func (e *Estimator) updateSuspected(now time.Time, t *target) Change {
 	switch {
-	case !t.suspected && t.sick >= Suspected:
+	case !t.suspected && t.unhealthy >= SuspectThreshold:
 		t.suspected = true
-		return NowSuspected
-	case !t.suspected && t.sick < Cleared:
-		t.bads, t.boutTime = 0, 0
-	case t.suspected && t.sick < Cleared:
-		if t.bads >= confirming {
-			e.ends++
-			e.sickTime += t.boutTime + min(now.Sub(t.lastBad), longestGap).Seconds()/2
+		return BecameSuspected
+	case !t.suspected && t.unhealthy < ClearThreshold:
+		t.failures, t.unhealthySeconds = 0, 0
+	case t.suspected && t.unhealthy < ClearThreshold:
+		if t.failures >= minConfirmingFailures {
+			e.recoveries++
+			e.unhealthySeconds += t.unhealthySeconds + min(now.Sub(t.lastFailure), maxObservationGap).Seconds()/2
 		}
-		t.suspected, t.bads, t.boutTime = false, 0, 0
-		return NowCleared
+		t.suspected, t.failures, t.unhealthySeconds = false, 0, 0
+		return BecameCleared
 	}
-	return None
+	return Unchanged
 }
 
-// longRun is the part of time for which a target is sick.
-func (e *Estimator) longRun() float64 {
-	bout, spell := e.sickTime/e.ends, e.soundTime/e.onsets
-	return bout / (bout + spell)
+// longRunUnhealthy returns the share of time for which a target is unhealthy.
+func (e *Estimator) longRunUnhealthy() float64 {
+	unhealthy, healthy := e.unhealthySeconds/e.recoveries, e.healthySeconds/e.onsets
+	return unhealthy / (unhealthy + healthy)
 }
 
-// drift moves the estimate by the time since the last one.
-func (e *Estimator) drift(now time.Time, t *target) {
-	dt := now.Sub(t.at).Seconds()
+// decay updates the estimate for the time since the last update.
+func (e *Estimator) decay(now time.Time, t *target) {
+	dt := now.Sub(t.updatedAt).Seconds()
 	if dt <= 0 {
 		return
 	}
-	t.sick = e.drifted(t.sick, dt)
-	t.at = now
+	t.unhealthy = e.decayed(t.unhealthy, dt)
+	t.updatedAt = now
 }
 
-func (e *Estimator) drifted(sick, dt float64) float64 {
-	rate := e.ends/e.sickTime + e.onsets/e.soundTime
-	long := e.longRun()
-	return long + (sick-long)*math.Exp(-rate*dt)
+// decayed returns an estimate after dt seconds without observations.
+func (e *Estimator) decayed(unhealthy, dt float64) float64 {
+	rate := e.recoveries/e.unhealthySeconds + e.onsets/e.healthySeconds
+	longRun := e.longRunUnhealthy()
+	return longRun + (unhealthy-longRun)*math.Exp(-rate*dt)
 }
 
-// Known calls f with each target of which something was seen, and the probability that
-// it is sick.
-func (e *Estimator) Known(now time.Time, f func(id fleet.TargetID, sick float64)) {
+// Each calls f with each target that has an estimate, and the probability that it is unhealthy.
+func (e *Estimator) Each(now time.Time, f func(id fleet.TargetID, unhealthy float64)) {
 	for id, t := range e.targets {
-		f(id, e.drifted(t.sick, max(now.Sub(t.at).Seconds(), 0)))
+		f(id, e.decayed(t.unhealthy, max(now.Sub(t.updatedAt).Seconds(), 0)))
 	}
 }
 
-// Adopt takes over what another instance believes of a target, if nothing was seen of
-// the target here. It tells whether it did.
-func (e *Estimator) Adopt(now time.Time, id fleet.TargetID, sick float64) bool {
+// Adopt sets the estimate of a target to that of another instance if the target has none here, and
+// reports whether it did.
+func (e *Estimator) Adopt(now time.Time, id fleet.TargetID, unhealthy float64) bool {
 	if e.targets[id] != nil {
 		return false
 	}
-	t := &target{sick: min(max(sick, floor), ceiling), at: now}
-	t.suspected = t.sick >= Suspected
+	t := &target{unhealthy: min(max(unhealthy, minEstimate), maxEstimate), updatedAt: now}
+	t.suspected = t.unhealthy >= SuspectThreshold
 	e.targets[id] = t
 	return true
 }
 
-// Sick is the probability that the target is sick.
-func (e *Estimator) Sick(now time.Time, id fleet.TargetID) float64 {
+// UnhealthyProbability returns the probability that the target is unhealthy. Without observations
+// of the target, it is the long-run share.
+func (e *Estimator) UnhealthyProbability(now time.Time, id fleet.TargetID) float64 {
 	t := e.targets[id]
 	if t == nil {
-		return e.longRun()
+		return e.longRunUnhealthy()
 	}
-	return e.drifted(t.sick, max(now.Sub(t.at).Seconds(), 0))
+	return e.decayed(t.unhealthy, max(now.Sub(t.updatedAt).Seconds(), 0))
 }
 
-// Fails is the probability that an attempt at the target fails.
-func (e *Estimator) Fails(now time.Time, id fleet.TargetID) float64 {
-	sick := e.Sick(now, id)
-	return sick*e.sickFails/e.sickCount + (1-sick)*e.soundFails/e.soundCount
+// FailureProbability returns the probability that an attempt at the target fails.
+func (e *Estimator) FailureProbability(now time.Time, id fleet.TargetID) float64 {
+	unhealthy := e.UnhealthyProbability(now, id)
+	return unhealthy*e.unhealthyFailures/e.unhealthyAttempts + (1-unhealthy)*e.healthyFailures/e.healthyAttempts
 }
 
-// FailsAtOnce is the probability that an attempt at the target fails much sooner than
-// work takes.
-func (e *Estimator) FailsAtOnce(now time.Time, id fleet.TargetID) float64 {
-	sick := e.Sick(now, id)
-	return sick*e.sickQuick/e.sickCount + (1-sick)*e.soundQuick/e.soundCount
+// QuickFailureProbability returns the probability that an attempt at the target is a QuickFailure.
+func (e *Estimator) QuickFailureProbability(now time.Time, id fleet.TargetID) float64 {
+	unhealthy := e.UnhealthyProbability(now, id)
+	return unhealthy*e.unhealthyQuick/e.unhealthyAttempts + (1-unhealthy)*e.healthyQuick/e.healthyAttempts
 }
 
-// Suspects is how many targets count as sick.
-func (e *Estimator) Suspects() int {
+// SuspectedCount returns the number of targets that count as unhealthy.
+func (e *Estimator) SuspectedCount() int {
 	n := 0
 	for _, t := range e.targets {
 		if t.suspected {
@@ -425,8 +428,8 @@
 	return n
 }
 
-// Forget drops the targets for which keep is false.
-func (e *Estimator) Forget(keep func(fleet.TargetID) bool) {
+// Prune removes the targets for which keep returns false.
+func (e *Estimator) Prune(keep func(fleet.TargetID) bool) {
 	for id := range e.targets {
 		if !keep(id) {
 			delete(e.targets, id)
--- a/suspicion/estimator_test.go
+++ b/suspicion/estimator_test.go
@@ -15,75 +15,76 @@
 
 func at(s float64) time.Time { return start.Add(seconds(s)) }
 
-func TestOneFailureAfterSilenceIsSuspicious(t *testing.T) {
+func TestSingleFailureAfterIdlePeriodSuspects(t *testing.T) {
 	e := New()
-	e.Observe(at(0), "a", Good, at(0))
-	_, after, c := e.Observe(at(10), "a", Bad, at(10))
+	e.Observe(at(0), "a", Success, at(0))
+	_, after, c := e.Observe(at(10), "a", Failure, at(10))
 	assert.Assert(t, after > 0.8, after)
-	assert.Equal(t, c, NowSuspected)
-	assert.Assert(t, e.Sick(at(22), "a") < 0.4, "trust returns with time")
+	assert.Equal(t, c, BecameSuspected)
+	assert.Assert(t, e.UnhealthyProbability(at(22), "a") < 0.4, "the estimate must recover with time")
 }
 
-func TestAFailureAmongSuccessesWeighsLess(t *testing.T) {
+func TestFailureAmongSuccessesWeighsLess(t *testing.T) {
 	e := New()
 	for n := range 20 {
-		e.Observe(at(float64(n)/10), "a", Good, at(float64(n)/10))
+		e.Observe(at(float64(n)/10), "a", Success, at(float64(n)/10))
 	}
-	_, after, _ := e.Observe(at(2), "a", Bad, at(2))
-	assert.Assert(t, after < Suspected, after)
-	_, after, _ = e.Observe(at(2.1), "a", Bad, at(2.1))
+	_, after, _ := e.Observe(at(2), "a", Failure, at(2))
+	assert.Assert(t, after < SuspectThreshold, after)
+	_, after, _ = e.Observe(at(2.1), "a", Failure, at(2.1))
 	assert.Assert(t, after > 0.9, after)
 }
 
-func TestWorkBegunBeforeAFailureClearsNothing(t *testing.T) {
+func TestSuccessStartedBeforeFailureDoesNotClear(t *testing.T) {
 	e := New()
-	_, bad, _ := e.Observe(at(1), "a", Bad, at(0.9))
-	_, after, _ := e.Observe(at(1.2), "a", Good, at(0.8))
-	assert.Assert(t, bad-after < 0.1)
-	_, after, c := e.Observe(at(1.6), "a", Good, at(1.2))
-	assert.Assert(t, bad-after > 0.2)
-	_, _, second := e.Observe(at(1.9), "a", Good, at(1.6))
-	assert.Assert(t, c == NowCleared || second == NowCleared)
+	_, afterFailure, _ := e.Observe(at(1), "a", Failure, at(0.9))
+	_, after, _ := e.Observe(at(1.2), "a", Success, at(0.8))
+	assert.Assert(t, afterFailure-after < 0.1)
+	_, after, c := e.Observe(at(1.6), "a", Success, at(1.2))
+	assert.Assert(t, afterFailure-after > 0.2)
+	_, _, second := e.Observe(at(1.9), "a", Success, at(1.6))
+	assert.Assert(t, c == BecameCleared || second == BecameCleared)
 }
 
-// Rates of other deployments must be found, whatever the priors say.
+// TestRatesAreLearned checks that the learned rates approach those of a deployment that differs
+// from the priors.
 func TestRatesAreLearned(t *testing.T) {
-	const bout, spell, sickFails, soundFails = 1.0, 40.0, 0.5, 0.03
+	const unhealthyPeriod, healthyPeriod, unhealthyFailureRate, healthyFailureRate = 1.0, 40.0, 0.5, 0.03
 	rng := rand.New(rand.NewPCG(1, 2))
 	e := New()
 	ids := []fleet.TargetID{"a", "b", "c", "d", "e", "f", "g", "h"}
-	sick := map[fleet.TargetID]bool{}
+	unhealthy := map[fleet.TargetID]bool{}
 	now := 0.0
 	for range 60000 {
 		now += 0.01
 		id := ids[rng.IntN(len(ids))]
-		rate := 1 / spell
-		if sick[id] {
-			rate = 1 / bout
+		rate := 1 / healthyPeriod
+		if unhealthy[id] {
+			rate = 1 / unhealthyPeriod
 		}
 		if rng.Float64() < rate*0.01*float64(len(ids)) {
-			sick[id] = !sick[id]
+			unhealthy[id] = !unhealthy[id]
 		}
-		fails := soundFails
-		if sick[id] {
-			fails = sickFails
+		fails := healthyFailureRate
+		if unhealthy[id] {
+			fails = unhealthyFailureRate
 		}
-		o := Good
+		o := Success
 		if rng.Float64() < fails {
-			o = Bad
+			o = Failure
 		}
 		e.Observe(at(now), id, o, at(now))
 	}
 	r := e.Rates()
-	assert.Assert(t, r.SoundFails > 0.015 && r.SoundFails < 0.045, "%+v", r)
-	assert.Assert(t, r.SickFails > 0.3 && r.SickFails < 0.8, "%+v", r)
-	assert.Assert(t, r.Bout > 300*time.Millisecond && r.Bout < 3*time.Second, "%+v", r)
-	assert.Assert(t, r.Spell > 10*time.Second, "%+v", r)
+	assert.Assert(t, r.HealthyFailureRate > 0.015 && r.HealthyFailureRate < 0.045, "%+v", r)
+	assert.Assert(t, r.UnhealthyFailureRate > 0.3 && r.UnhealthyFailureRate < 0.8, "%+v", r)
+	assert.Assert(t, r.UnhealthyPeriod > 300*time.Millisecond && r.UnhealthyPeriod < 3*time.Second, "%+v", r)
+	assert.Assert(t, r.HealthyPeriod > 10*time.Second, "%+v", r)
 }
 
-// TestQuickFailuresAreToldApart lets sick targets fail at once and sound ones after
-// their work: a sound target's failure must not set it aside, a sick one's must.
-func TestQuickFailuresAreToldApart(t *testing.T) {
+// TestQuickFailuresWeighMoreThanSlowOnes learns from unhealthy targets that fail at once and healthy
+// ones that fail after their work. A single failure then suspects a target only if it was quick.
+func TestQuickFailuresWeighMoreThanSlowOnes(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	e := New()
 	ids := []fleet.TargetID{"a", "b", "c", "d", "e", "f"}
@@ -91,100 +92,100 @@
 	for range 4000 {
 		now += 0.02
 		i := rng.IntN(len(ids))
-		sick := int(now/4)%len(ids) == i
-		o := Good
+		unhealthy := int(now/4)%len(ids) == i
+		o := Success
 		switch {
-		case sick && rng.Float64() < 0.8:
-			o = Quick
+		case unhealthy && rng.Float64() < 0.8:
+			o = QuickFailure
 		case rng.Float64() < 0.012:
-			o = Bad
+			o = Failure
 		}
 		e.Observe(at(now), ids[i], o, at(now))
 	}
 	for n := range 4 {
-		e.Observe(at(now+float64(n)), "g", Good, at(now+float64(n)))
-		e.Observe(at(now+float64(n)), "h", Good, at(now+float64(n)))
+		e.Observe(at(now+float64(n)), "g", Success, at(now+float64(n)))
+		e.Observe(at(now+float64(n)), "h", Success, at(now+float64(n)))
 	}
-	_, slow, _ := e.Observe(at(now+5), "g", Bad, at(now+5))
-	_, quick, _ := e.Observe(at(now+5), "h", Quick, at(now+5))
-	assert.Assert(t, slow < Suspected, "after a failure that took its time: %.3f, %+v", slow, e.Rates())
-	assert.Assert(t, quick > 0.9, "after a quick one: %.3f, %+v", quick, e.Rates())
+	_, slow, _ := e.Observe(at(now+5), "g", Failure, at(now+5))
+	_, quick, _ := e.Observe(at(now+5), "h", QuickFailure, at(now+5))
+	assert.Assert(t, slow < SuspectThreshold, "after a slow failure: %.3f, %+v", slow, e.Rates())
+	assert.Assert(t, quick > 0.9, "after a quick failure: %.3f, %+v", quick, e.Rates())
 }
 
-// A break on a connection that rested says much of the target where connections are
-// rarely forgotten, and little where they often are.
-func TestARestedBreakWeighsByHowOftenConnectionsAreForgotten(t *testing.T) {
+// TestIdleResetWeightDependsOnStaleRate: a reset of an idle connection is strong evidence against the
+// target where idle connections are rarely stale, and weak evidence where they often are.
+func TestIdleResetWeightDependsOnStaleRate(t *testing.T) {
 	after := func(stale float64) float64 {
 		e := New()
-		e.Observe(at(0), "a", Good, at(0))
-		_, after, _ := e.ObserveRested(at(2), "a", stale)
+		e.Observe(at(0), "a", Success, at(0))
+		_, after, _ := e.ObserveIdleReset(at(2), "a", stale)
 		return after
 	}
-	assert.Assert(t, after(0.005) > Suspected, "%v", after(0.005))
-	assert.Assert(t, after(0.3) < Cleared, "%v", after(0.3))
+	assert.Assert(t, after(0.005) > SuspectThreshold, "%v", after(0.005))
+	assert.Assert(t, after(0.3) < ClearThreshold, "%v", after(0.3))
 }
 
-// A fresh instance takes over what others believe, and trusts its own eyes more.
-func TestBeliefsAreTakenOverOnce(t *testing.T) {
-	old, fresh := New(), New()
-	old.Observe(at(0), "a", Bad, at(0))
-	fresh.Observe(at(1), "b", Good, at(1))
-	old.Observe(at(0), "b", Bad, at(0))
-	old.Known(at(1), func(id fleet.TargetID, sick float64) { fresh.Adopt(at(1), id, sick) })
-	assert.Equal(t, fresh.Sick(at(1), "a"), old.Sick(at(1), "a"))
-	assert.Assert(t, fresh.Sick(at(1), "b") < Cleared)
-	assert.Equal(t, fresh.Suspects(), 1)
+// TestAdoptOnlyUnobservedTargets: a new instance adopts the estimates of others, except for targets
+// that it has observed itself.
+func TestAdoptOnlyUnobservedTargets(t *testing.T) {
+	other, fresh := New(), New()
+	other.Observe(at(0), "a", Failure, at(0))
+	fresh.Observe(at(1), "b", Success, at(1))
+	other.Observe(at(0), "b", Failure, at(0))
+	other.Each(at(1), func(id fleet.TargetID, unhealthy float64) { fresh.Adopt(at(1), id, unhealthy) })
+	assert.Equal(t, fresh.UnhealthyProbability(at(1), "a"), other.UnhealthyProbability(at(1), "a"))
+	assert.Assert(t, fresh.UnhealthyProbability(at(1), "b") < ClearThreshold)
+	assert.Equal(t, fresh.SuspectedCount(), 1)
 }
 
-// TestBoutsThatAreNotOverYetDoNotLengthenTheOthers: among 193 targets of which three in ten
-// were in a bout of some 3 s at a time, the learned length of a bout went from 7 s to 33 s
-// within 9 s of traffic, and among 358 to 94 s. Sick targets get no work, so that the end of a
-// bout is seen only once trust has come back; the time between failures was counted at once.
-// Targets that were sound again stayed unused, and less was seen of ends the longer bouts
-// seemed.
+// TestOngoingUnhealthyPeriodsDoNotSkewLearnedLength guards against a learned length of unhealthy
+// periods that grows with the number of targets. Unhealthy targets get few requests, so that the end of
+// a period is seen late. When the time between failures counted at once, the learned length rose from
+// 7 s to 33 s within 9 s among 193 targets, of which three in ten were unhealthy for some 3 s at a time,
+// and to 94 s among 358. Healthy targets then stayed unused, which delayed the detection of further ends.
 //
-// Each target here gets 2.8 attempts a second until it is suspected, and three failures as that
-// happens, from instances that have not heard of each other.
-func TestBoutsThatAreNotOverYetDoNotLengthenTheOthers(t *testing.T) {
-	for _, targets := range []int{193, 358, 1124} { // of a service, at 134, 293 and 920 instances
-		r := ratesAfterManyOnsets(targets)
-		assert.Assert(t, r.Bout < 8*time.Second, "%d targets: %+v", targets, r)
-		assert.Assert(t, r.Spell < 4*seconds(learnedSpell), "%d targets: %+v", targets, r)
+// Each target gets 2.8 attempts a second until it is suspected, and three failures at that time, from
+// instances that have not yet heard of each other's failures.
+func TestOngoingUnhealthyPeriodsDoNotSkewLearnedLength(t *testing.T) {
+	for _, targets := range []int{193, 358, 1124} { // per service, in fleets of 134, 293 and 920 instances
+		r := ratesAfterSimulation(targets)
+		assert.Assert(t, r.UnhealthyPeriod < 8*time.Second, "%d targets: %+v", targets, r)
+		assert.Assert(t, r.HealthyPeriod < 4*seconds(healthyPeriodSeconds), "%d targets: %+v", targets, r)
 	}
 }
 
-// learnedSpell is how long targets of ratesAfterManyOnsets are sound, in seconds.
-const learnedSpell = 7.0
+// healthyPeriodSeconds is the mean healthy period in ratesAfterSimulation.
+const healthyPeriodSeconds = 7.0
 
-// ratesAfterManyOnsets returns what is learned of so many targets within 8 s.
-func ratesAfterManyOnsets(targets int) Rates {
+// ratesAfterSimulation returns the rates learned from 8 s of simulated attempts.
+func ratesAfterSimulation(targets int) Rates {
 	const (
-		bout      = 3.0
-		perSecond = 2.8
-		step      = 0.02
+		unhealthyPeriod = 3.0
+		perSecond       = 2.8
+		step            = 0.02
 	)
 	rng := rand.New(rand.NewPCG(5, 6))
 	e := New()
-	sick := make([]bool, targets)
+	unhealthy := make([]bool, targets)
 	for now := 0.0; now < 8; now += step {
-		for i := range sick {
+		for i := range unhealthy {
 			id := fleet.TargetID(fmt.Sprint("t", i))
-			rate := 1 / learnedSpell
-			if sick[i] {
-				rate = 1 / bout
+			rate := 1 / healthyPeriodSeconds
+			if unhealthy[i] {
+				rate = 1 / unhealthyPeriod
 			}
 			if rng.Float64() < rate*step {
-				sick[i] = !sick[i]
+				unhealthy[i] = !unhealthy[i]
 			}
-			if e.Sick(at(now), id) >= Suspected || rng.Float64() >= perSecond*step {
+			if e.UnhealthyProbability(at(now), id) >= SuspectThreshold || rng.Float64() >= perSecond*step {
 				continue
 			}
-			if !sick[i] {
-				e.Observe(at(now), id, Good, at(now))
+			if !unhealthy[i] {
+				e.Observe(at(now), id, Success, at(now))
 				continue
 			}
 			for n := range 3 {
-				e.Observe(at(now+0.1*float64(n)), id, Quick, at(now))
+				e.Observe(at(now+0.1*float64(n)), id, QuickFailure, at(now))
 			}
 		}
 	}
--- a/targetrate/bucket.go
+++ b/targetrate/bucket.go
@@ -3,42 +3,41 @@
 import "time"
 
 const (
-	// burstBase and burstSeconds are what a bucket holds at most: so many requests, and those of so
-	// many seconds. More would go beyond two requests, and a tenth of the rate, in four seconds.
+	// A full bucket holds burstBase requests and the requests of burstSeconds. A larger burst could
+	// exceed a tenth more than the rate, plus two requests, within four seconds.
 	burstBase    = 1.5
 	burstSeconds = 0.3
-	// urgentShare is the part of a full bucket that less urgent requests leave to the others.
-	urgentShare = 0.25
+	// urgentReserve is the share of a full bucket that is reserved for urgent requests.
+	urgentReserve = 0.25
 )
 
-// bucket holds requests that may be sent. An empty one is that of an instance that begins to hold
-// a rate.
+// bucket is a token bucket of requests. It is empty when an instance becomes the holder of a rate.
 type bucket struct {
-	level float64
-	at    time.Time // zero: the rate was not held
+	tokens    float64
+	updatedAt time.Time // zero while the rate is not held
 }
 
-// settle fills the bucket up to a moment.
-func (b *bucket) settle(now time.Time, r Rate) {
-	if !b.at.IsZero() {
-		b.level = min(b.level+now.Sub(b.at).Seconds()*float64(r), burst(r))
+// refill adds the tokens since the last update.
+func (b *bucket) refill(now time.Time, r Rate) {
+	if !b.updatedAt.IsZero() {
+		b.tokens = min(b.tokens+now.Sub(b.updatedAt).Seconds()*float64(r), burst(r))
 	}
-	b.at = now
+	b.updatedAt = now
 }
 
-// take takes out a request, or tells after which time one may be there.
+// take takes a token, or returns the time after which one may be available.
 func (b *bucket) take(now time.Time, r Rate, urgent bool) (wait time.Duration, ok bool) {
-	b.settle(now, r)
+	b.refill(now, r)
 	need := 1.0
 	if !urgent {
-		need += urgentShare * burst(r)
+		need += urgentReserve * burst(r)
 	}
-	if b.level >= need {
-		b.level--
+	if b.tokens >= need {
+		b.tokens--
 		return 0, true
 	}
-	return time.Duration((need - b.level) / float64(r) * float64(time.Second)), false
+	return time.Duration((need - b.tokens) / float64(r) * float64(time.Second)), false
 }
 
-// burst is what a bucket holds at most.
+// burst returns the capacity of a bucket, in requests.
 func burst(r Rate) float64 { return burstBase + burstSeconds*float64(r) }
--- a/targetrate/doc.go
+++ b/targetrate/doc.go
@@ -1,13 +1,13 @@
-// Package targetrate keeps the rates that targets in need name in their answers, in requests a
-// second from all instances together, and hands out what they allow.
+// Package targetrate tracks the rate limits that targets announce in their responses, in requests per
+// second from all instances together, and grants requests within them.
 //
-// What is known of a target's rate is the latest of what any instance was told: a naming counts from
-// when its answer came, the end of a rate from when the attempt began whose answer named
-// none, so that it does not matter in which order instances hear of them.
+// The latest announcement that any instance received applies. An announced rate counts from the receipt of
+// its response; the end of a rate counts from the start of the attempt whose response announced none. The
+// result therefore does not depend on the order in which instances receive announcements.
 //
-// One instance at a time, the holder, has the whole of a target's rate in a bucket, and the others ask
-// it for each request. Instances agree on the holder by what they hear of each other; one that
-// becomes it begins with an empty bucket.
+// One instance at a time, the holder, has the token bucket of a target's rate, and other instances request
+// each token from it. Instances derive the holder from the instances that they hear from; a new holder starts
+// with an empty bucket.
 //
 // The package reads no clock and does no I/O. A Table is safe for concurrent use.
 package targetrate
--- a/targetrate/holder.go
+++ b/targetrate/holder.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	// holderFor is for how long others are known to say who holds a rate.
-	holderFor = 3 * time.Second
-	// deniedLeast and deniedMost bound for how long a target is not asked for after a denial. Where
-	// many instances want the little there is, a short pause keeps them from all asking at once.
-	deniedLeast = 20 * time.Millisecond
-	deniedMost  = 2 * time.Second
+	// holderTimeout is for how long a reported holder is valid.
+	holderTimeout = 3 * time.Second
+	// minDenial and maxDenial bound the time without requests to the holder after a denial. The
+	// minimum keeps many instances from requesting scarce tokens all at once.
+	minDenial = 20 * time.Millisecond
+	maxDenial = 2 * time.Second
 )
 
-// Candidate is an instance that may hold rates.
+// Candidate is an instance that may become the holder of rates.
 type Candidate struct {
 	Addr string
-	// Young processes may not have heard of the others yet, and hold nothing beside older ones.
+	// Young marks a process that may not have heard of the other instances yet. It becomes a holder
+	// only if all candidates are young.
 	Young bool
 }
 
-// Holder is the instance that holds a target's rate, among those that are heard; empty if there is
-// none. Each target has an order of its own, so that the holding of many spreads.
+// Holder returns the address of the instance among the candidates that holds the target's rate, or "" if
+// there are none. The ranking differs between targets, so that the load of holding rates is spread.
 func Holder(id fleet.TargetID, candidates []Candidate) string {
 	best, bestRank := -1, uint64(0)
 	for i, c := range candidates {
@@ -43,8 +44,8 @@
 	return candidates[best].Addr
 }
 
-// Grant takes a request out of the rate that this instance holds. If there is none it tells when one
-// may be.
+// Grant takes a token of a rate that this instance holds. If there is none, it returns the time after which
+// one may be available. Targets without a rate need no token.
 func (t *Table) Grant(now time.Time, id fleet.TargetID, urgent bool) (wait time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,23 +56,22 @@
 	return e.bucket.take(now, e.Rate, urgent)
 }
 
-// Hold notes which rates this instance holds from now on. One that it has just begun to hold is
-// empty.
-func (t *Table) Hold(now time.Time, holds func(fleet.TargetID) bool) {
+// UpdateHeld updates which rates this instance holds. The bucket of a newly held rate is empty.
+func (t *Table) UpdateHeld(now time.Time, holds func(fleet.TargetID) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, e := range t.targets {
 		switch {
 		case e.Rate == 0 || !holds(id):
 			e.bucket = bucket{}
-		case e.bucket.at.IsZero():
-			e.bucket.at = now
+		case e.bucket.updatedAt.IsZero():
+			e.bucket.updatedAt = now
 		}
 	}
 }
 
-// Said notes who is said to hold a target's rate.
-func (t *Table) Said(now time.Time, id fleet.TargetID, holder string) {
+// SetReportedHolder records the holder of a target's rate as reported by another instance.
+func (t *Table) SetReportedHolder(now time.Time, id fleet.TargetID, holder string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.targets[id]; e != nil {
@@ -79,27 +79,27 @@
 	}
 }
 
-// SaidHolder is who was said to hold the target's rate a moment ago; empty if nobody was.
-func (t *Table) SaidHolder(now time.Time, id fleet.TargetID) string {
+// ReportedHolder returns the holder that was reported within holderTimeout, or "" if there is none.
+func (t *Table) ReportedHolder(now time.Time, id fleet.TargetID) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.targets[id]
-	if e == nil || now.Sub(e.holderAt) > holderFor {
+	if e == nil || now.Sub(e.holderAt) > holderTimeout {
 		return ""
 	}
 	return e.holder
 }
 
-// Deny notes that the holder had nothing, and when it may have something.
+// Deny records that the holder had no token, and the time after which it may have one.
 func (t *Table) Deny(now time.Time, id fleet.TargetID, wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.targets[id]; e != nil {
-		e.deniedUntil = now.Add(min(max(wait, deniedLeast), deniedMost))
+		e.deniedUntil = now.Add(min(max(wait, minDenial), maxDenial))
 	}
 }
 
-// Denied tells whether the holder had nothing a moment ago.
+// Denied reports whether a denial by the holder is still in effect.
 func (t *Table) Denied(now time.Time, id fleet.TargetID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/targetrate/table.go
+++ b/targetrate/table.go
@@ -7,48 +7,49 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// Naming is what an answer said of a target's rate.
-type Naming struct {
+// Announcement is the rate that a response announced for its target.
+type Announcement struct {
 	Target fleet.TargetID
-	// Rate is the named one; 0 if the answer named none.
+	// Rate is 0 if the response announced none.
 	Rate Rate
-	// At is when the answer came, or when its attempt began if it named none: an answer to an
-	// attempt that began before the last naming ends nothing.
+	// At is the time of the response, or the start of its attempt if it announced no rate: a
+	// response to an attempt that started before the last announcement does not end the rate.
 	At time.Time
 }
 
-// Change is what a naming changed.
+// Change is the effect of an announcement.
 type Change uint8
 
 const (
-	// Unchanged: it was known, or something later is.
+	// Unchanged means that the rate is the same, or that a later announcement is in force.
 	Unchanged Change = iota
-	// Began: the target had no rate.
+	// Began means that the target had no rate before.
 	Began
-	// Altered: the target had another.
-	Altered
-	// Ended: the target has none any more.
+	// Changed means that the target had another rate before.
+	Changed
+	// Ended means that the target no longer has a rate.
 	Ended
 )
 
-// String names the change in logs.
+// String returns the name of the change in logs.
 func (c Change) String() string { return [...]string{"unchanged", "began", "altered", "ended"}[c] }
 
-// endedFor is for how long the end of a rate is told to others, and remembered beside namings that come late.
-const endedFor = 10 * time.Second
+// endedRetention is for how long the end of a rate is kept and sent to others, so that earlier
+// announcements that arrive late have no effect.
+const endedRetention = 10 * time.Second
 
-// entry is what is known of one target.
+// entry is the state of one target.
 type entry struct {
-	Naming
+	Announcement
 	bucket bucket
-	// holder is the instance that was last said to hold the rate, and when that was said.
+	// holder is the last reported holder of the rate, holderAt the time of the report.
 	holder   string
 	holderAt time.Time
-	// deniedUntil is until when no request is asked for.
+	// deniedUntil is the time until which no token is requested from the holder.
 	deniedUntil time.Time
 }
 
-// Table is what an instance knows of targets' rates.
+// Table holds the rates of targets.
 type Table struct {
 	mu      sync.Mutex
 	targets map[fleet.TargetID]*entry
@@ -57,20 +58,20 @@
 // New returns an empty table.
 func New() *Table { return &Table{targets: make(map[fleet.TargetID]*entry)} }
 
-// Take takes in a naming, and tells what it changed.
-func (t *Table) Take(now time.Time, n Naming) Change {
+// Apply records an announcement and returns its effect.
+func (t *Table) Apply(now time.Time, n Announcement) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.targets[n.Target]
 	if e == nil {
-		e = &entry{Naming: Naming{Target: n.Target}}
+		e = &entry{Announcement: Announcement{Target: n.Target}}
 		t.targets[n.Target] = e
 	}
 	if !n.At.After(e.At) {
 		return Unchanged
 	}
 	before := e.Rate
-	e.Naming = n
+	e.Announcement = n
 	switch {
 	case before == n.Rate:
 		return Unchanged
@@ -80,24 +81,24 @@
 		e.bucket = bucket{}
 		return Ended
 	}
-	e.bucket.settle(now, before)
-	return Altered
+	e.bucket.refill(now, before)
+	return Changed
 }
 
-// Rate is the rate in force at a target; 0 if there is none.
-func (t *Table) Rate(id fleet.TargetID) Rate { return t.Naming(id).Rate }
+// Rate returns the rate in force at a target, or 0 if there is none.
+func (t *Table) Rate(id fleet.TargetID) Rate { return t.Latest(id).Rate }
 
-// Naming is the latest that is known of a target.
-func (t *Table) Naming(id fleet.TargetID) Naming {
+// Latest returns the latest announcement for a target.
+func (t *Table) Latest(id fleet.TargetID) Announcement {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.targets[id]; e != nil {
-		return e.Naming
+		return e.Announcement
 	}
-	return Naming{Target: id}
+	return Announcement{Target: id}
 }
 
-// Len is how many targets have a rate.
+// Len returns the number of targets with a rate in force.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,38 +111,40 @@
 	return n
 }
 
-// InForce are the rates that targets name now.
-func (t *Table) InForce() []Naming {
+// Active returns the announcements of all rates in force.
+func (t *Table) Active() []Announcement {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var all []Naming
+	var all []Announcement
 	for _, e := range t.targets {
 		if e.Rate > 0 {
-			all = append(all, e.Naming)
+			all = append(all, e.Announcement)
 		}
 	}
 	return all
 }
 
-// Told are the rates in force and those that have just ended, to be told to others.
-func (t *Table) Told(now time.Time) []Naming {
+// Shareable returns the announcements to be sent to other instances: rates in force and those that ended
+// within endedRetention.
+func (t *Table) Shareable(now time.Time) []Announcement {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var all []Naming
+	var all []Announcement
 	for _, e := range t.targets {
-		if e.Rate > 0 || now.Sub(e.At) < endedFor {
-			all = append(all, e.Naming)
+		if e.Rate > 0 || now.Sub(e.At) < endedRetention {
+			all = append(all, e.Announcement)
 		}
 	}
 	return all
 }
 
-// Forget drops what is known of targets that are not kept, and ends that are long over.
-func (t *Table) Forget(now time.Time, keep func(fleet.TargetID) bool) {
+// Prune removes the targets for which keep returns false, and rates that ended longer than endedRetention
+// ago.
+func (t *Table) Prune(now time.Time, keep func(fleet.TargetID) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, e := range t.targets {
-		if !keep(id) || e.Rate == 0 && now.Sub(e.At) > endedFor {
+		if !keep(id) || e.Rate == 0 && now.Sub(e.At) > endedRetention {
 			delete(t.targets, id)
 		}
 	}
