--- a/eventqueue/queue.go
+++ b/eventqueue/queue.go
@@ -1,5 +1,5 @@
-// Package eventqueue plays events in the order of their times, for models of a fleet that tests run on a clock of
-// their own.
+// Package eventqueue is a discrete-event scheduler with a simulated clock, for tests that model a
+// fleet.
 package eventqueue
 
 import (
@@ -7,48 +7,49 @@
 	"time"
 )
 
-// Queue holds what is to happen. The zero value is empty, and its clock stands at 0.
+// Queue is a queue of scheduled events. The zero value is empty, with its clock at 0.
 type Queue struct {
-	now     time.Duration
-	added   int
-	waiting waiting
+	now      time.Duration
+	sequence int
+	events   eventHeap
 }
 
-// event is something that happens; those of one moment do so in the order in which they were added.
+// event is a scheduled function. Events of the same time run in the order in which they were added.
 type event struct {
-	at    time.Duration
-	order int
-	do    func()
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
-type waiting []event
+type eventHeap []event
 
-func (w waiting) Len() int { return len(w) }
-func (w waiting) Less(a, b int) bool {
-	return w[a].at < w[b].at || w[a].at == w[b].at && w[a].order < w[b].order
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(a, b int) bool {
+	return h[a].at < h[b].at || h[a].at == h[b].at && h[a].sequence < h[b].sequence
 }
-func (w waiting) Swap(a, b int) { w[a], w[b] = w[b], w[a] }
-func (w *waiting) Push(x any)   { *w = append(*w, x.(event)) }
-func (w *waiting) Pop() any {
-	last := (*w)[len(*w)-1]
-	*w = (*w)[:len(*w)-1]
+func (h eventHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *eventHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// Now is the time of the event that happens, or happened last.
+// Now returns the time of the event that is running or ran last.
 func (q *Queue) Now() time.Duration { return q.now }
 
-// After adds an event; a negative time from now is allowed before the queue runs.
-func (q *Queue) After(d time.Duration, do func()) {
-	q.added++
-	heap.Push(&q.waiting, event{q.now + d, q.added, do})
+// After schedules run at the given duration from now. The duration may be negative before the queue
+// runs.
+func (q *Queue) After(d time.Duration, run func()) {
+	q.sequence++
+	heap.Push(&q.events, event{q.now + d, q.sequence, run})
 }
 
-// Run plays the events before a time, also those that they add.
+// Run executes all events before the given time, including those added while it runs.
 func (q *Queue) Run(until time.Duration) {
-	for len(q.waiting) > 0 && q.waiting[0].at < until {
-		e := heap.Pop(&q.waiting).(event)
+	for len(q.events) > 0 && q.events[0].at < until {
+		e := heap.Pop(&q.events).(event)
 		q.now = e.at
-		e.do()
+		e.run()
 	}
 }
--- a/eventqueue/queue_test.go
+++ b/eventqueue/queue_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestEventsHappenInTheirOrder(t *testing.T) {
+func TestEventsRunInOrder(t *testing.T) {
 	var q Queue
 	var seen []string
 	note := func(name string) func() {
--- a/gateway/advice.go
+++ b/gateway/advice.go
@@ -68,7 +68,7 @@
 		return
 	}
 	concerned := func(addr string) bool { return g.knowledge.ConcernedBy(addr, rt, targets.Services[rt.Service]) }
-	g.node.TellBackoff(mesh.TargetBackoff{Target: t.ID, ForMillis: lasts.Milliseconds()}, concerned)
+	g.node.SendBackoff(mesh.TargetBackoff{Target: t.ID, RemainingMillis: lasts.Milliseconds()}, concerned)
 }
 
 // refuseAdvice notes a field by which a target says something of itself, and that says nothing.
@@ -93,7 +93,7 @@
 	if len(news) == 0 {
 		return false
 	}
-	g.node.TellDepartures(news, true)
+	g.node.AnnounceDepartures(news, true)
 	return true
 }
 
@@ -105,7 +105,7 @@
 	}
 	news := g.state.Depart(p.Departures, p.Addr)
 	if len(news) > 0 && p.Zone != g.settings.Zone && !p.Relayed {
-		g.node.TellDepartures(news, false)
+		g.node.AnnounceDepartures(news, false)
 	}
 }
 
--- a/gateway/backoff.go
+++ b/gateway/backoff.go
@@ -57,7 +57,7 @@
 // takeBackoffs takes in that targets turned other instances away; the lock is held.
 func (k *Knowledge) takeBackoffs(now time.Time, backoffs []mesh.TargetBackoff) {
 	for _, told := range backoffs {
-		lasts := min(max(told.ForMillis, 0), toldBackoffMost.Milliseconds())
+		lasts := min(max(told.RemainingMillis, 0), toldBackoffMost.Milliseconds())
 		b := &k.target(told.Target).backoff
 		if end := now.Add(millis(lasts)); end.After(b.others) {
 			b.others = end
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -117,7 +117,7 @@
 	z.at(now.Add(refusalTakes), func(now time.Time) {
 		in.k.Ended(p)
 		if !z.silent && in.k.TurnedAway(now, "s", p.ID, after) {
-			told := &mesh.Packet{Backoffs: []mesh.TargetBackoff{{Target: p.ID, ForMillis: after.Milliseconds()}}}
+			told := &mesh.Packet{Backoffs: []mesh.TargetBackoff{{Target: p.ID, RemainingMillis: after.Milliseconds()}}}
 			z.tell(in, now, told, func(addr string) bool { return in.k.ConcernedBy(addr, p.Target, z.targets) })
 		}
 		z.again(in, asked, now, append(slices.Clone(tried), p.ID))
--- a/gateway/census.go
+++ b/gateway/census.go
@@ -60,8 +60,8 @@
 	if n > c.found {
 		c.found, c.grewAt = n, now
 	}
-	c.told = v.Told
-	c.settled = c.settled || (v.Met && now.Sub(c.grewAt) >= settledAfter)
+	c.told = v.MaxReportedInstances
+	c.settled = c.settled || (v.Joined && now.Sub(c.grewAt) >= settledAfter)
 	c.most.note(now, n)
 	c.log(now, v)
 }
@@ -89,8 +89,8 @@
 	if n == c.logged || now.Sub(c.loggedAt) < censusLogEvery {
 		return
 	}
-	eventlog.Info(eventlog.InstancesCounted, "instances", n, "before", c.logged, "heard", len(v.Members), "named", v.Known,
-		"zones", len(v.Zones), "met", v.Met, "told", v.Told, "age_ms", now.Sub(c.booted).Milliseconds())
+	eventlog.Info(eventlog.InstancesCounted, "instances", n, "before", c.logged, "heard", len(v.Members), "named", v.PeerCount,
+		"zones", len(v.Zones), "met", v.Joined, "told", v.MaxReportedInstances, "age_ms", now.Sub(c.booted).Milliseconds())
 	c.logged, c.loggedAt = n, now
 }
 
--- a/gateway/census_test.go
+++ b/gateway/census_test.go
@@ -94,9 +94,9 @@
 
 // viewOfMany is the view of a process that has heard some instances, and knows no more.
 func viewOfMany(now time.Time, known int) mesh.View {
-	v := mesh.View{At: now, Zone: "a", Known: known - 1}
+	v := mesh.View{At: now, Zone: "a", PeerCount: known - 1}
 	for i := range known - 1 {
-		v.Members = append(v.Members, mesh.Member{Addr: fmt.Sprint(i), Zone: "a", Heard: now})
+		v.Members = append(v.Members, mesh.Member{Addr: fmt.Sprint(i), Zone: "a", LastReceived: now})
 	}
 	return v
 }
@@ -179,13 +179,13 @@
 func TestAProcessThatMeetsTheFleetTakesItsPart(t *testing.T) {
 	for _, fleet := range []int{130, 300, 920} {
 		young := census{booted: start}
-		alone := mesh.View{Known: 3}
+		alone := mesh.View{PeerCount: 3}
 		young.note(start, alone)
 		young.note(start.Add(5*time.Second), alone)
 		assert.Equal(t, young.instances(start.Add(5*time.Second)), 0, "it has met nobody")
 
 		told := alone
-		told.Told = fleet
+		told.MaxReportedInstances = fleet
 		young.note(start.Add(6*time.Second), told)
 		assert.Equal(t, young.instances(start.Add(6*time.Second)), fleet)
 		assert.Equal(t, young.own(start.Add(6*time.Second)), 0, "what others told goes no further")
@@ -196,7 +196,7 @@
 			v := alone
 			if ms >= 3000 {
 				v = viewOfMany(now, min(fleet, fleet*(ms-2900)/500))
-				v.Met = true
+				v.Joined = true
 			}
 			together.note(now, v)
 			n := together.instances(now)
--- a/gateway/contents.go
+++ b/gateway/contents.go
@@ -190,7 +190,7 @@
 func (g *Gateway) tellKeptNow(now time.Time, e quarantine.Evidence) {
 	var p mesh.Packet
 	addContent(now, &p, &e)
-	g.node.TellContents(p.Contents, p.Upheld)
+	g.node.AnnounceContents(p.Contents, p.Upheld)
 }
 
 // addContent adds what is known of a content to a packet.
@@ -223,7 +223,7 @@
 		g.contents.Take(now, e, p.Addr)
 	}
 	for _, e := range p.Evidence {
-		if e.What == suspicion.Success {
+		if e.Observation == suspicion.Success {
 			g.targetAnswered(now, e.Target, e.AgeMillis)
 		}
 	}
@@ -247,12 +247,12 @@
 func encodeContent(now time.Time, e *quarantine.Evidence) mesh.ContentEvidence {
 	out := mesh.ContentEvidence{Content: e.Content}
 	if !e.Served.IsZero() {
-		out.Served, out.ServedMillis = true, now.Sub(e.Served).Milliseconds()
+		out.Served, out.ServedAgeMillis = true, now.Sub(e.Served).Milliseconds()
 	}
 	for _, l := range e.Losses {
 		out.Losses = append(out.Losses, mesh.ContentLoss{
-			Target: l.Process.Target, Born: l.Process.Born,
-			EndedMillis: now.Sub(l.Ended).Milliseconds(), TookMillis: l.Ended.Sub(l.Began).Milliseconds(),
+			Target: l.Process.Target, ProcessStartMillis: l.Process.Born,
+			EndAgeMillis: now.Sub(l.Ended).Milliseconds(), DurationMillis: l.Ended.Sub(l.Began).Milliseconds(),
 		})
 	}
 	return out
@@ -261,12 +261,12 @@
 func decodeContent(now time.Time, c *mesh.ContentEvidence) quarantine.Evidence {
 	out := quarantine.Evidence{Content: c.Content}
 	if c.Served {
-		out.Served = now.Add(-millis(c.ServedMillis))
+		out.Served = now.Add(-millis(c.ServedAgeMillis))
 	}
 	for _, l := range c.Losses {
-		at := now.Add(-millis(l.EndedMillis))
+		at := now.Add(-millis(l.EndAgeMillis))
 		out.Losses = append(out.Losses, quarantine.Loss{
-			Process: quarantine.Process{Target: l.Target, Born: l.Born}, Began: at.Add(-millis(l.TookMillis)), Ended: at,
+			Process: quarantine.Process{Target: l.Target, Born: l.ProcessStartMillis}, Began: at.Add(-millis(l.DurationMillis)), Ended: at,
 		})
 	}
 	return out
--- a/gateway/contents_test.go
+++ b/gateway/contents_test.go
@@ -141,11 +141,11 @@
 		gs = append(gs, g)
 	}
 	for _, g := range gs {
-		g.node.Know([]string{gs[0].node.Addr(), gs[1].node.Addr(), gs[2].node.Addr()})
+		g.node.AddPeers([]string{gs[0].node.Addr(), gs[1].node.Addr(), gs[2].node.Addr()})
 	}
 	for _, g := range gs {
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
-			if g.node.View().InZone() == len(gs) {
+			if g.node.View().ZoneInstances() == len(gs) {
 				return poll.Success()
 			}
 			return poll.Continue("not all are known")
--- a/gateway/digest.go
+++ b/gateway/digest.go
@@ -37,7 +37,7 @@
 	for _, g := range d.Successes {
 		began := now.Add(-millis(g.AgeMillis))
 		for range min(g.Count, mostSuccesses) {
-			k.observe(now, mesh.Evidence{Service: g.Service, Target: g.Target, What: suspicion.Success}, began, string(name))
+			k.observe(now, mesh.Evidence{Service: g.Service, Target: g.Target, Observation: suspicion.Success}, began, string(name))
 		}
 	}
 }
@@ -47,7 +47,7 @@
 func (k *Knowledge) Digest(now time.Time, v mesh.View, successes bool) *mesh.Digest {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	d := &mesh.Digest{Instances: v.InZone()}
+	d := &mesh.Digest{Instances: v.ZoneInstances()}
 	for id, t := range k.targets {
 		n := t.own + t.others
 		for _, z := range k.zones {
--- a/gateway/evidence.go
+++ b/gateway/evidence.go
@@ -39,7 +39,7 @@
 func (k *Knowledge) Observe(now time.Time, name document.ServiceName, id fleet.TargetID, o suspicion.Observation, began time.Time, took time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	e := mesh.Evidence{Service: name, Target: id, What: o, TookMillis: took.Milliseconds()}
+	e := mesh.Evidence{Service: name, Target: id, Observation: o, DurationMillis: took.Milliseconds()}
 	if o == suspicion.Unreachable && k.cut(now, id) {
 		// Several targets at once: the fault is on this instance's side, and says
 		// nothing of them to others.
@@ -82,20 +82,20 @@
 	}
 	s := k.service(e.Service)
 	before, after, change := k.estimate(now, s, &e, began, from)
-	if arrived(e.What) {
+	if arrived(e.Observation) {
 		k.target(e.Target).lastUse = now
 		k.target(e.Target).arrived(began)
 	}
-	if e.What == suspicion.Success {
-		s.latency.add(millis(e.TookMillis))
+	if e.Observation == suspicion.Success {
+		s.latency.add(millis(e.DurationMillis))
 	}
 	switch change {
 	case suspicion.BecameSuspected:
 		r := s.estimator.Rates()
-		eventlog.Info(eventlog.TargetSuspected, "target", e.Target, "service", e.Service, "by", from, "evidence", e.What,
+		eventlog.Info(eventlog.TargetSuspected, "target", e.Target, "service", e.Service, "by", from, "evidence", e.Observation,
 			"age_ms", now.Sub(began).Milliseconds(), "sick_before", eventlog.Share(before), "sick", eventlog.Share(after), "sound_fails", eventlog.Share(r.HealthyFailureRate), "bout_ms", r.UnhealthyPeriod.Milliseconds())
 	case suspicion.BecameCleared:
-		eventlog.Info(eventlog.TargetCleared, "target", e.Target, "service", e.Service, "by", from, "evidence", e.What,
+		eventlog.Info(eventlog.TargetCleared, "target", e.Target, "service", e.Service, "by", from, "evidence", e.Observation,
 			"age_ms", now.Sub(began).Milliseconds(), "sick_before", eventlog.Share(before), "sick", eventlog.Share(after))
 	}
 }
@@ -110,10 +110,10 @@
 
 // estimate moves the estimate of the evidence's target.
 func (k *Knowledge) estimate(now time.Time, s *service, e *mesh.Evidence, began time.Time, from string) (before, after float64, c suspicion.Change) {
-	if e.What != suspicion.IdleReset {
-		return s.estimator.Observe(now, e.Target, e.What, began)
+	if e.Observation != suspicion.IdleReset {
+		return s.estimator.Observe(now, e.Target, e.Observation, began)
 	}
-	idle := millis(e.TookMillis)
+	idle := millis(e.DurationMillis)
 	weight := 1.0
 	if from != fromSelf {
 		weight = 1 / float64(max(k.census.most.number(), 1))
--- a/gateway/fleet_bench_test.go
+++ b/gateway/fleet_bench_test.go
@@ -58,16 +58,16 @@
 	}
 	f.node, err = mesh.Listen(mesh.Config{Addr: "127.0.0.1:0", Zone: "a", Boot: time.Now().Add(-time.Hour), LinkBytes: 1 << 40},
 		mesh.Callbacks{
-			Fill:  f.knowledge.Fill,
-			Greet: func(time.Time, *mesh.Packet) {},
+			FillHeartbeat: f.knowledge.Fill,
+			FillGreeting:  func(time.Time, *mesh.Packet) {},
 			Digest: func(now time.Time, first bool) *mesh.Digest {
 				return f.knowledge.Digest(now, f.node.View(), first)
 			},
-			Take: f.knowledge.Take,
+			Handle: f.knowledge.Take,
 		})
 	assert.NilError(b, err)
 	for i := range f.addrs {
-		f.node.Take(f.encoded(b, i, &mesh.Packet{Heartbeat: true}))
+		f.node.HandleDatagram(f.encoded(b, i, &mesh.Packet{Heartbeat: true}))
 	}
 	return f
 }
@@ -90,27 +90,27 @@
 func BenchmarkFleetWork(b *testing.B) {
 	for _, instances := range []int{36, 293, 920} {
 		f := newBenchFleet(b, instances)
-		failure := []mesh.Evidence{{Service: "service-0", Target: f.target(1), What: suspicion.Failure, AgeMillis: 300}}
+		failure := []mesh.Evidence{{Service: "service-0", Target: f.target(1), Observation: suspicion.Failure, AgeMillis: 300}}
 		var loads []mesh.Load
 		for i := range 5 {
 			loads = append(loads, mesh.Load{Target: f.target(i), InFlight: 1})
 		}
 		work := map[string]func(i int){
 			"hear-load": func(i int) {
-				f.node.Take(f.encoded(b, i%instances/benchZones*benchZones, &mesh.Packet{Load: loads[:1]}))
+				f.node.HandleDatagram(f.encoded(b, i%instances/benchZones*benchZones, &mesh.Packet{Load: loads[:1]}))
 			},
-			"hear-failure": func(i int) { f.node.Take(f.encoded(b, i%instances, &mesh.Packet{Evidence: failure})) },
+			"hear-failure": func(i int) { f.node.HandleDatagram(f.encoded(b, i%instances, &mesh.Packet{Evidence: failure})) },
 			"hear-heartbeat": func(i int) {
-				f.node.Take(f.encoded(b, i%instances/benchZones*benchZones, &mesh.Packet{Heartbeat: true, Load: loads}))
+				f.node.HandleDatagram(f.encoded(b, i%instances/benchZones*benchZones, &mesh.Packet{Heartbeat: true, Load: loads}))
 			},
 			"encode":    func(i int) { f.encoded(b, i%instances, &mesh.Packet{Load: loads[:1]}) },
-			"heartbeat": func(int) { f.node.Beat() },
+			"heartbeat": func(int) { f.node.SendHeartbeat() },
 			"tell-load": func(i int) {
 				ts := f.byService["service-0"]
 				p := &Placed{Target: ts[i%len(ts)], inItsZone: len(ts) / benchZones}
-				f.node.TellLoad(mesh.Load{Target: p.ID, InFlight: 1}, func(addr string) bool { return f.knowledge.Concerns(addr, p) })
+				f.node.SendLoad(mesh.Load{Target: p.ID, InFlight: 1}, func(addr string) bool { return f.knowledge.Concerns(addr, p) })
 			},
-			"tell-failure": func(int) { f.node.Tell(mesh.Packet{Evidence: failure}) },
+			"tell-failure": func(int) { f.node.SendUpdate(mesh.Packet{Evidence: failure}) },
 			"view":         func(int) { f.node.View() },
 			"tick": func(int) {
 				f.knowledge.Tick(time.Now())
--- a/gateway/fuzz_test.go
+++ b/gateway/fuzz_test.go
@@ -14,8 +14,8 @@
 // FuzzPeerPacket: whatever a peer tells, a target is still chosen.
 func FuzzPeerPacket(f *testing.F) {
 	for _, p := range []mesh.Packet{
-		{Addr: "p", Zone: "a", Boot: 1, Heartbeat: true, Load: []mesh.Load{{Target: "t1", InFlight: 2}}, Asks: []mesh.Loan{{Service: "s", Permille: 1000}}, Loans: []mesh.Loan{{Service: "s", Permille: 500}}},
-		{Addr: "p", Zone: "b", Boot: 1, Evidence: []mesh.Evidence{{Service: "s", Target: "t1", What: suspicion.Failure, AgeMillis: 5}}, Beliefs: []mesh.Belief{{Service: "s", Target: "t2", Permille: 900}}},
+		{Addr: "p", Zone: "a", Boot: 1, Heartbeat: true, Load: []mesh.Load{{Target: "t1", InFlight: 2}}, LoanRequests: []mesh.Loan{{Service: "s", Permille: 1000}}, Loans: []mesh.Loan{{Service: "s", Permille: 500}}},
+		{Addr: "p", Zone: "b", Boot: 1, Evidence: []mesh.Evidence{{Service: "s", Target: "t1", Observation: suspicion.Failure, AgeMillis: 5}}, Estimates: []mesh.Estimate{{Service: "s", Target: "t2", Permille: 900}}},
 		{Addr: "p", Zone: "b", Boot: 1, Digest: &mesh.Digest{Instances: 2, Successes: []mesh.Successes{{Service: "s", Target: "t1", Count: 3}}}},
 	} {
 		b, err := cbor.Marshal(&p)
@@ -35,7 +35,7 @@
 		k.Digest(later, viewOf(), true)
 		k.Beliefs(later)
 		k.Spend(later, "s", true)
-		k.Lend(later, p.Addr, p.Asks)
+		k.Lend(later, p.Addr, p.LoanRequests)
 		if _, ok := k.Place(later, "s", targets("t1", "t2"), nil, nil, placement.Work{}, cold); !ok {
 			t.Fatal("no target was chosen")
 		}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	g.follower = statesync.NewFollower(statesync.Options{
-		State: g.state, Store: store, Peers: g.node.View, Self: g.node.Addr(), Zone: s.Zone, Know: g.node.Know, Tell: g.announce,
+		State: g.state, Store: store, Peers: g.node.View, Self: g.node.Addr(), Zone: s.Zone, Know: g.node.AddPeers, Tell: g.announce,
 	})
 	g.keeper = &keeper{table: g.contents, store: store, reads: g.readsStore, tell: g.tellKept, booted: g.booted}
 	return g, nil
@@ -98,7 +98,7 @@
 func (g *Gateway) listen() (err error) {
 	s := &g.settings
 	g.node, err = mesh.Listen(mesh.Config{Addr: s.PeerListen, Zone: s.Zone, Boot: g.booted, Seeds: s.Seeds, LinkBytes: s.LinkBytes},
-		mesh.Callbacks{Fill: g.fill, Greet: g.greet, Digest: g.digest, Take: g.take})
+		mesh.Callbacks{FillHeartbeat: g.fill, FillGreeting: g.greet, Digest: g.digest, Handle: g.take})
 	if err != nil {
 		return err
 	}
@@ -110,7 +110,7 @@
 		return errors.WithStack(err)
 	}
 	g.handler = &Handler{
-		State: g.state, Knowledge: g.knowledge, Client: g.client, Tell: g.tell, TellLoad: g.node.TellLoad, AskForLoans: g.node.AskForLoans, Metrics: g.metrics,
+		State: g.state, Knowledge: g.knowledge, Client: g.client, Tell: g.tell, TellLoad: g.node.SendLoad, AskForLoans: g.node.RequestLoans, Metrics: g.metrics,
 		Contents: g.contents, TellContent: g.tellContent, TriesHere: g.triesHere, Poison: g.poison, Rates: g.rates,
 		Booted: g.booted, Bodies: &Bodies{Bound: int64(bodiesShare * float64(s.MemoryBytes))},
 	}
@@ -130,7 +130,7 @@
 
 // greet tells an instance that was just found what this one believes of targets and contents.
 func (g *Gateway) greet(now time.Time, p *mesh.Packet) {
-	p.Beliefs = g.knowledge.Beliefs(now)
+	p.Estimates = g.knowledge.Beliefs(now)
 	g.fillContents(now, p)
 	g.rates.fill(now, p)
 	g.fillDepartures(now, p)
@@ -150,14 +150,14 @@
 // readsStore tells whether this instance reads the store for its zone, and the store's epoch.
 func (g *Gateway) readsStore() (registry.Epoch, bool) {
 	_, position := g.state.Versions()
-	return position.Epoch, g.follower.Log() == mesh.LogAnswers
+	return position.Epoch, g.follower.Log() == mesh.LogAvailable
 }
 
 // tell sends news at once.
 func (g *Gateway) tell(p mesh.Packet) {
 	g.versions(&p)
 	g.fillUntold(time.Now(), &p)
-	g.node.Tell(p)
+	g.node.SendUpdate(p)
 }
 
 // announce tells the others that this instance's state has moved on.
@@ -173,7 +173,7 @@
 	g.takeContents(now, p)
 	g.rates.take(now, p)
 	g.takeDepartures(p)
-	if len(p.Asks) > 0 {
+	if len(p.LoanRequests) > 0 {
 		g.lend(now, p)
 	}
 	if g.state.Behind(now, p.Document, p.Position()) {
@@ -183,8 +183,8 @@
 
 // lend answers an instance of the zone that is short of a retry budget.
 func (g *Gateway) lend(now time.Time, p *mesh.Packet) {
-	if loans := g.knowledge.Lend(now, p.Addr, p.Asks); len(loans) > 0 {
-		g.node.Lend(p.Addr, loans)
+	if loans := g.knowledge.Lend(now, p.Addr, p.LoanRequests); len(loans) > 0 {
+		g.node.SendLoans(p.Addr, loans)
 	}
 }
 
@@ -285,7 +285,7 @@
 func (g *Gateway) logTraffic() {
 	const kb = 1024
 	s := g.node.Stats()
-	pairs := []any{"received", s.Received, "dropped", s.Dropped, "most_kb_s", s.MostBytes / kb}
+	pairs := []any{"received", s.Received, "dropped", s.Dropped, "most_kb_s", s.MaxBytesPerSecond / kb}
 	for _, k := range mesh.Kinds() {
 		pairs = append(pairs, k.String()+"_kb", s.SentBytes[k]/kb)
 	}
--- a/gateway/knowledge_test.go
+++ b/gateway/knowledge_test.go
@@ -31,10 +31,10 @@
 func cold(exchange.Target, time.Duration) bool { return false }
 
 func viewOf(members ...mesh.Member) mesh.View {
-	v := mesh.View{At: start, Zone: "a", Members: members, Met: true}
+	v := mesh.View{At: start, Zone: "a", Members: members, Joined: true}
 	for i := range v.Members {
 		v.Members[i].Zone = "a"
-		v.Members[i].Heard = start
+		v.Members[i].LastReceived = start
 	}
 	return v
 }
@@ -71,7 +71,7 @@
 	var ks []*Knowledge
 	for range 1 + lenders {
 		k := newKnowledge()
-		k.Count(start, mesh.View{Known: 5})
+		k.Count(start, mesh.View{PeerCount: 5})
 		ks = append(ks, k)
 	}
 	short := ks[0]
@@ -124,7 +124,7 @@
 		return p.ID
 	}
 	first := place()
-	k.Take(start, &mesh.Packet{Addr: "p", Zone: "b", Evidence: []mesh.Evidence{{Service: "s", Target: first, What: suspicion.Failure}}})
+	k.Take(start, &mesh.Packet{Addr: "p", Zone: "b", Evidence: []mesh.Evidence{{Service: "s", Target: first, Observation: suspicion.Failure}}})
 	assert.Assert(t, place() != first)
 	_, ok := k.Place(start, "s", ts, []fleet.TargetID{"t1", "t2"}, nil, placement.Work{}, cold)
 	assert.Assert(t, !ok)
@@ -144,7 +144,7 @@
 	k := newKnowledge()
 	v := viewOf(mesh.Member{Addr: "p"})
 	p := &mesh.Packet{Addr: "p", Zone: "a", Boot: 1, Heartbeat: true, Load: []mesh.Load{{Target: "t", InFlight: 2}}}
-	p.Evidence = []mesh.Evidence{{Service: "s", Target: "t", What: suspicion.Success}}
+	p.Evidence = []mesh.Evidence{{Service: "s", Target: "t", Observation: suspicion.Success}}
 	k.Take(start, p)
 	k.Take(start, &mesh.Packet{Addr: "q", Zone: "b", Digest: &mesh.Digest{Load: []mesh.Load{{Target: "t", InFlight: 5}}}})
 	d := k.Digest(start, v, true)
@@ -216,9 +216,9 @@
 func TestVainAttemptsAreNoUse(t *testing.T) {
 	k := newKnowledge()
 	now := start.Add(time.Minute)
-	k.Take(now, &mesh.Packet{Addr: "p", Zone: "a", Evidence: []mesh.Evidence{{Service: "s", Target: "t", What: suspicion.Unreachable}}})
+	k.Take(now, &mesh.Packet{Addr: "p", Zone: "a", Evidence: []mesh.Evidence{{Service: "s", Target: "t", Observation: suspicion.Unreachable}}})
 	assert.Assert(t, k.target("t").lastUse.IsZero())
-	k.Take(now, &mesh.Packet{Addr: "p", Zone: "a", Evidence: []mesh.Evidence{{Service: "s", Target: "t", What: suspicion.Failure}}})
+	k.Take(now, &mesh.Packet{Addr: "p", Zone: "a", Evidence: []mesh.Evidence{{Service: "s", Target: "t", Observation: suspicion.Failure}}})
 	assert.Equal(t, k.target("t").lastUse, now)
 }
 
@@ -229,7 +229,7 @@
 		old.Observe(start, "s", "sick", suspicion.Failure, start, 0)
 		old.Observe(start, "s", "sound", suspicion.Success, start, time.Millisecond)
 	}
-	fresh.Take(start, &mesh.Packet{Addr: "old", Zone: "a", Boot: 1, Beliefs: old.Beliefs(start)})
+	fresh.Take(start, &mesh.Packet{Addr: "old", Zone: "a", Boot: 1, Estimates: old.Beliefs(start)})
 	e := fresh.service("s").estimator
 	assert.Assert(t, e.UnhealthyProbability(start, "sick") > suspicion.SuspectThreshold)
 	assert.Assert(t, e.UnhealthyProbability(start, "sound") < suspicion.ClearThreshold)
@@ -253,7 +253,7 @@
 	bad := func(age time.Duration) *mesh.Packet {
 		return &mesh.Packet{
 			Addr: "p", Zone: "a", Boot: 1, Load: []mesh.Load{{Target: "t1", InFlight: 3}},
-			Evidence: []mesh.Evidence{{Service: "s", Target: "t1", What: suspicion.Failure, AgeMillis: age.Milliseconds()}},
+			Evidence: []mesh.Evidence{{Service: "s", Target: "t1", Observation: suspicion.Failure, AgeMillis: age.Milliseconds()}},
 		}
 	}
 	k.Take(start, bad(0))
@@ -268,7 +268,7 @@
 	packet := bad(1500 * time.Millisecond)
 	packet.Load = nil
 	k.Take(again.Add(time.Second), packet)
-	k.Take(again.Add(time.Second), &mesh.Packet{Addr: "q", Zone: "a", Boot: 1, Beliefs: []mesh.Belief{{Service: "s", Target: "t1", Permille: 900}}})
+	k.Take(again.Add(time.Second), &mesh.Packet{Addr: "q", Zone: "a", Boot: 1, Estimates: []mesh.Estimate{{Service: "s", Target: "t1", Permille: 900}}})
 	known := k.service("s").estimator.UnhealthyProbability(again, "t1")
 	assert.Assert(t, known <= unknown, "%v, of an unknown one %v", known, unknown)
 	p, ok := k.Place(again.Add(time.Second), "s", ts, nil, nil, placement.Work{}, cold)
@@ -301,7 +301,7 @@
 
 	heartbeat.Load = nil
 	for _, target := range ts[2:] {
-		heartbeat.Evidence = append(heartbeat.Evidence, mesh.Evidence{Service: "s", Target: target.ID, What: suspicion.Success, AgeMillis: 1000, TookMillis: 700})
+		heartbeat.Evidence = append(heartbeat.Evidence, mesh.Evidence{Service: "s", Target: target.ID, Observation: suspicion.Success, AgeMillis: 1000, DurationMillis: 700})
 	}
 	told := began.Add(2700 * time.Millisecond)
 	k.Take(told, heartbeat)
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -77,7 +77,7 @@
 	gauge("gateway.mesh.sent", stats.Sent)
 	gauge("gateway.mesh.received", stats.Received)
 	gauge("gateway.mesh.bytes", stats.Bytes)
-	gauge("gateway.mesh.bytes.most", stats.MostBytes)
+	gauge("gateway.mesh.bytes.most", stats.MaxBytesPerSecond)
 	gauge("gateway.mesh.dropped", stats.Dropped)
 	for _, k := range mesh.Kinds() {
 		m.Registry.Gauge("gateway.mesh.bytes.sent", telemetry.Label{Key: "kind", Value: k.String()}).Update(stats.SentBytes[k])
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -26,7 +26,7 @@
 
 // tally counts a success of the own zone, for its digest.
 func (k *Knowledge) tally(e mesh.Evidence, began time.Time) {
-	if e.What != suspicion.Success {
+	if e.Observation != suspicion.Success {
 		return
 	}
 	t := k.target(e.Target)
@@ -53,7 +53,7 @@
 	if p.Digest != nil {
 		k.takeDigest(now, p.Zone, p.Digest)
 	}
-	k.adopt(now, p.Beliefs, p.Addr)
+	k.adopt(now, p.Estimates, p.Addr)
 	k.takeBackoffs(now, p.Backoffs)
 	for _, e := range p.Evidence {
 		began := now.Add(-millis(e.AgeMillis))
@@ -130,22 +130,22 @@
 
 // Beliefs are what the instance believes of targets: first of those that are likely
 // sick, for a fresh instance would lose a request at each, then of some others.
-func (k *Knowledge) Beliefs(now time.Time) []mesh.Belief {
+func (k *Knowledge) Beliefs(now time.Time) []mesh.Estimate {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	var all []mesh.Belief
+	var all []mesh.Estimate
 	for name, s := range k.services {
 		s.estimator.Each(now, func(id fleet.TargetID, sick float64) {
-			all = append(all, mesh.Belief{Service: name, Target: id, Permille: int(permille * sick)})
+			all = append(all, mesh.Estimate{Service: name, Target: id, Permille: int(permille * sick)})
 		})
 	}
-	slices.SortFunc(all, func(a, b mesh.Belief) int { return b.Permille - a.Permille })
+	slices.SortFunc(all, func(a, b mesh.Estimate) int { return b.Permille - a.Permille })
 	return all[:min(len(all), beliefEntries)]
 }
 
 // adopt takes over what another instance believes of targets of which this one knows
 // nothing.
-func (k *Knowledge) adopt(now time.Time, bs []mesh.Belief, from string) {
+func (k *Knowledge) adopt(now time.Time, bs []mesh.Estimate, from string) {
 	for _, b := range bs {
 		if k.ofEarlierProcess(b.Target, now.Add(-beliefAge)) {
 			continue
--- a/gateway/rates.go
+++ b/gateway/rates.go
@@ -49,8 +49,8 @@
 	Addr() string
 	View() mesh.View
 	TellRates(rates []mesh.TargetRate, far bool)
-	AskToken(holder string, a mesh.TokenAsk)
-	GiveToken(asker string, t mesh.Token)
+	AskToken(holder string, a mesh.TokenRequest)
+	GiveToken(asker string, t mesh.TokenResponse)
 }
 
 // Rates keeps to the rates that targets name, together with the other instances.
@@ -64,7 +64,7 @@
 
 	mu      sync.Mutex
 	number  uint64
-	waiting map[uint64]chan mesh.Token
+	waiting map[uint64]chan mesh.TokenResponse
 	leaving bool
 	// refused counts the requests of services whose targets take no more, as they come.
 	refused map[document.ServiceName]*refusals
@@ -79,14 +79,14 @@
 type answeredAsk struct {
 	asker string
 	boot  int64
-	token mesh.Token
+	token mesh.TokenResponse
 }
 
 // NewRates returns rates of which none is known.
 func NewRates(node rateNode, zone fleet.Zone, booted time.Time, targets func() *registry.View, m *Metrics) *Rates {
 	return &Rates{
 		table: targetrate.New(), node: node, zone: zone, booted: booted, targets: targets, metrics: m,
-		waiting:    make(map[uint64]chan mesh.Token),
+		waiting:    make(map[uint64]chan mesh.TokenResponse),
 		refused:    make(map[document.ServiceName]*refusals),
 		zonesHeard: make(map[fleet.Zone]time.Time),
 	}
@@ -123,7 +123,7 @@
 	v := rs.node.View()
 	for i := range v.Members {
 		m := &v.Members[i]
-		if m.Zone != rs.zone || m.Leaving || now.Sub(m.Heard) > heardFor {
+		if m.Zone != rs.zone || m.Leaving || now.Sub(m.LastReceived) > heardFor {
 			continue
 		}
 		cs = append(cs, targetrate.Candidate{Addr: m.Addr, Young: now.UnixMilli()-m.Boot < youngHolder.Milliseconds()})
@@ -257,7 +257,7 @@
 
 // ask asks the holder and waits for its answer. One that comes too late is lost.
 func (rs *Rates) ask(ctx context.Context, holder string, id fleet.TargetID, urgent bool) (time.Duration, bool) {
-	answer := make(chan mesh.Token, 1)
+	answer := make(chan mesh.TokenResponse, 1)
 	rs.mu.Lock()
 	rs.number++
 	number := rs.number
@@ -274,7 +274,7 @@
 	defer again.Stop()
 	for {
 		rate := toldRate(time.Now(), rs.table.Latest(id), "")
-		rs.node.AskToken(holder, mesh.TokenAsk{Number: number, Rate: rate, Urgent: urgent})
+		rs.node.AskToken(holder, mesh.TokenRequest{Number: number, Rate: rate, Urgent: urgent})
 		select {
 		case t := <-answer:
 			return millis(t.WaitMillis), t.Granted
@@ -297,11 +297,11 @@
 	for _, r := range p.Rates {
 		rs.hear(now, p, r)
 	}
-	for _, a := range p.TokenAsks {
+	for _, a := range p.TokenRequests {
 		rs.hear(now, p, a.Rate)
 		rs.node.GiveToken(p.Addr, rs.answerOnce(now, p, a))
 	}
-	for _, t := range p.Tokens {
+	for _, t := range p.TokenResponses {
 		rs.mu.Lock()
 		answer := rs.waiting[t.Number]
 		rs.mu.Unlock()
@@ -315,7 +315,7 @@
 }
 
 // answerOnce answers one that asks; if the same is asked again, in the same words.
-func (rs *Rates) answerOnce(now time.Time, p *mesh.Packet, a mesh.TokenAsk) mesh.Token {
+func (rs *Rates) answerOnce(now time.Time, p *mesh.Packet, a mesh.TokenRequest) mesh.TokenResponse {
 	rs.mu.Lock()
 	for i := range rs.answered {
 		k := &rs.answered[i]
@@ -335,8 +335,8 @@
 }
 
 // answer is what the holder of a rate says to one that asks.
-func (rs *Rates) answer(now time.Time, a mesh.TokenAsk) mesh.Token {
-	t := mesh.Token{Number: a.Number, WaitMillis: unansweredFor.Milliseconds()}
+func (rs *Rates) answer(now time.Time, a mesh.TokenRequest) mesh.TokenResponse {
+	t := mesh.TokenResponse{Number: a.Number, WaitMillis: unansweredFor.Milliseconds()}
 	if rs.holder(now, a.Rate.Target) != rs.node.Addr() {
 		return t
 	}
--- a/gateway/rates_test.go
+++ b/gateway/rates_test.go
@@ -84,7 +84,7 @@
 	}
 	for z, heard := range in.zones {
 		if time.Since(heard) < 12*time.Second {
-			v.Zones = append(v.Zones, mesh.Zone{Name: z, Instances: 1, Heard: heard})
+			v.Zones = append(v.Zones, mesh.Zone{Name: z, Instances: 1, LastDigest: heard})
 		}
 	}
 	return v
@@ -108,7 +108,7 @@
 	now := time.Now()
 	in.mu.Lock()
 	if p.Zone == in.zone {
-		in.members[p.Addr] = mesh.Member{Addr: p.Addr, Zone: p.Zone, Boot: p.Boot, Leaving: p.Leaving, Heard: now}
+		in.members[p.Addr] = mesh.Member{Addr: p.Addr, Zone: p.Zone, Boot: p.Boot, Leaving: p.Leaving, LastReceived: now}
 	} else if p.Digest != nil {
 		in.zones[p.Zone] = now
 	}
@@ -144,16 +144,16 @@
 }
 
 // AskToken implements rateNode.
-func (in *rateInstance) AskToken(holder string, a mesh.TokenAsk) {
+func (in *rateInstance) AskToken(holder string, a mesh.TokenRequest) {
 	p := in.packet()
-	p.TokenAsks = []mesh.TokenAsk{a}
+	p.TokenRequests = []mesh.TokenRequest{a}
 	in.send(in.fleet.byAddr[holder], p)
 }
 
 // GiveToken implements rateNode.
-func (in *rateInstance) GiveToken(asker string, t mesh.Token) {
+func (in *rateInstance) GiveToken(asker string, t mesh.TokenResponse) {
 	p := in.packet()
-	p.Tokens = []mesh.Token{t}
+	p.TokenResponses = []mesh.TokenResponse{t}
 	in.send(in.fleet.byAddr[asker], p)
 }
 
--- a/mesh/doc.go
+++ b/mesh/doc.go
@@ -1,24 +1,24 @@
-// Package mesh lets the instances of a gateway tell each other what they see, by
-// datagrams.
+// Package mesh exchanges state between the instances of a gateway in datagrams over UDP.
 //
-// Within a zone each instance talks to all. It sends a heartbeat every 0.3 to 1.4 s:
-// its versions of the configuration, the load that it puts on targets, observations of
-// targets. What cannot wait, such as a failed attempt, is sent at once. A load that has
-// just changed is told to those only that mostly use the target.
+// Within a zone, each instance sends to all others. It sends a heartbeat every 0.3 to 1.4 s with
+// its versions of the configuration, the load that it puts on targets and observations of targets.
+// Urgent updates, such as a failed attempt, are sent at once. A change of load is sent at once only
+// to the instances that mostly use the target.
 //
-// Bytes between zones have a price, so little crosses them: news go to two
-// instances of each other zone, the bridges, which pass them on within theirs, and
-// the bridges of each pair of zones exchange a digest of their zone from time to
-// time. Whoever gets a packet from another zone passes it on, so that views of who
-// the bridges are may differ; a packet that comes twice is taken once.
+// Traffic between zones is charged by the byte, so it is kept small: updates go to two instances of
+// each other zone, its bridges, which relay them within their zone, and the bridges of each pair of
+// zones exchange a digest of their zone at intervals. Every instance relays packets that it
+// receives from another zone, so that instances may disagree on which ones are the bridges;
+// duplicate packets are ignored.
 //
-// News grows with the load of callers, and bridges get that of all zones. They gather it
-// for some milliseconds, and the second of a zone passes on only what the first has not.
-// News is paced by a part of the instance's link, and what gathers meanwhile leaves
-// together; heartbeats, announcements of changes and loans do not wait.
+// The volume of updates grows with the load of callers, and bridges receive those of all zones.
+// Bridges batch them for some milliseconds, and the second bridge of a zone relays only what the
+// first has not. Updates are limited to a share of the instance's link; those that arrive while the
+// limit is reached are sent together. Heartbeats, announcements of changes and loans are not
+// delayed.
 //
-// A datagram may be lost; nothing depends on a single one. An instance becomes
-// known by its seeds, by the store's list of addresses, or by being named in a
-// heartbeat, and counts once it was heard. The interval of heartbeats grows with
-// the zone, up to what freshness needs.
+// Datagrams may be lost; nothing depends on a single one. An instance is discovered through its
+// seeds, through the store's list of addresses, or by being named in a heartbeat, and counts once a
+// datagram from it has arrived. The heartbeat interval grows with the size of the zone, within the
+// limit that up-to-date state requires.
 package mesh
--- a/mesh/fuzz_test.go
+++ b/mesh/fuzz_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// FuzzDecode: whatever arrives in a datagram is refused or taken in.
+// FuzzDecode checks that every datagram is either rejected or processed.
 func FuzzDecode(f *testing.F) {
 	for _, p := range []*Packet{
 		{Addr: "10.0.0.1:1", Evidence: []Evidence{{Target: "t"}}},
-		{Addr: "10.0.0.1:1", Zone: "a", Boot: 1, Sequence: 1, Heartbeat: true, Known: []Known{{Addr: "10.0.0.2:1", Zone: "a"}}, Load: []Load{{Target: "t", InFlight: 2}}},
+		{Addr: "10.0.0.1:1", Zone: "a", Boot: 1, Sequence: 1, Heartbeat: true, Peers: []Peer{{Addr: "10.0.0.2:1", Zone: "a"}}, Load: []Load{{Target: "t", InFlight: 2}}},
 		{Addr: "10.0.0.1:1", Zone: "b", Boot: 1, Sequence: 1, Digest: &Digest{Instances: 3, Successes: []Successes{{Count: 2}}}},
-		{Addr: "10.0.0.1:1", Zone: "a", Boot: 1, Sequence: 1, Contents: []ContentEvidence{contentOf(2), contentOf(60)}},
-		{Addr: "10.0.0.1:1", Zone: "a", Boot: 1, Sequence: 1, Passed: []*Packet{passedPacket(1), passedPacket(2)}},
+		{Addr: "10.0.0.1:1", Zone: "a", Boot: 1, Sequence: 1, Contents: []ContentEvidence{contentWithLosses(2), contentWithLosses(60)}},
+		{Addr: "10.0.0.1:1", Zone: "a", Boot: 1, Sequence: 1, RelayedPackets: []*Packet{relayedPacket(1), relayedPacket(2)}},
 	} {
 		b, err := encode(p)
 		if err != nil {
@@ -27,14 +27,14 @@
 		}
 		now := time.Now()
 		ms := newMembers("self", "a", 1)
-		o := newOutbox(smallLink)
-		for _, q := range append([]*Packet{p}, p.Passed...) {
-			ms.heard(now, q)
-			for _, k := range q.Known {
+		o := newOutbox(smallLinkBytes)
+		for _, q := range append([]*Packet{p}, p.RelayedPackets...) {
+			ms.receive(now, q)
+			for _, k := range q.Peers {
 				ms.add(now, k.Addr, k.Zone)
 			}
-			o.add(now, q)
-			o.pass(now, q, 0)
+			o.addOwn(now, q)
+			o.addRelay(now, q, 0)
 		}
 		for !o.empty() {
 			o.next(now.Add(time.Second))
--- a/mesh/load_test.go
+++ b/mesh/load_test.go
@@ -14,145 +14,144 @@
 	"github.com/clementinereel/clementinereel/suspicion"
 )
 
-// smallLink is what the smallest links of a fleet carry, in bytes a second (10 Mbit/s).
-const smallLink = 1_250_000
-
-// link is how much a node's link has still to carry, worked out from what it sends.
-type link struct {
-	node   *Node
-	sent   int64
-	queued float64
-	at     time.Time
-	// longest is the longest time that a datagram waited.
-	longest time.Duration
+// smallLinkBytes is the capacity of the smallest links of a fleet, in bytes per second (10 Mbit/s).
+const smallLinkBytes = 1_250_000
+
+// simulatedLink computes the queue on a node's link from what the node sends.
+type simulatedLink struct {
+	node        *Node
+	sentBytes   int64
+	queuedBytes float64
+	updatedAt   time.Time
+	// maxDelay is the longest time that a datagram was queued.
+	maxDelay time.Duration
 }
 
-func (l *link) look() {
+func (l *simulatedLink) update() {
 	now := time.Now()
 	s := l.node.Stats()
-	sent := headerBytes * s.Sent
+	sent := ipUDPHeaderBytes * s.Sent
 	for _, b := range s.SentBytes {
 		sent += b
 	}
-	if !l.at.IsZero() {
-		l.queued = max(l.queued-now.Sub(l.at).Seconds()*smallLink, 0) + float64(sent-l.sent)
+	if !l.updatedAt.IsZero() {
+		l.queuedBytes = max(l.queuedBytes-now.Sub(l.updatedAt).Seconds()*smallLinkBytes, 0) + float64(sent-l.sentBytes)
 	}
-	l.at, l.sent = now, sent
-	l.longest = max(l.longest, time.Duration(l.queued/smallLink*float64(time.Second)))
+	l.updatedAt, l.sentBytes = now, sent
+	l.maxDelay = max(l.maxDelay, time.Duration(l.queuedBytes/smallLinkBytes*float64(time.Second)))
 }
 
-// inZoneOf returns a node that has heard the given number of instances of its zone, at
-// addresses where a socket takes in what is sent and drops it.
-func inZoneOf(t testing.TB, neighbours int) *Node {
+// newNodeWithNeighbours returns a node that has received from the given number of instances of its
+// zone, at addresses where a socket discards what is sent.
+func newNodeWithNeighbours(t testing.TB, neighbours int) *Node {
 	n := startNode(t, "a").Node
-	hearNeighbours(t, n, neighbours)
+	receiveFromNeighbours(t, n, neighbours)
 	return n
 }
 
-func hearNeighbours(t testing.TB, n *Node, neighbours int) {
+func receiveFromNeighbours(t testing.TB, n *Node, neighbours int) {
 	sink, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4zero})
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = sink.Close() })
 	port := sink.LocalAddr().(*net.UDPAddr).Port
 	for i := range neighbours {
-		n.Take(encoded(t, &Packet{Addr: fmt.Sprintf("127.0.1.%d:%d", i+1, port), Zone: "a", Boot: 1, Sequence: 1}))
+		n.HandleDatagram(mustEncode(t, &Packet{Addr: fmt.Sprintf("127.0.1.%d:%d", i+1, port), Zone: "a", Boot: 1, Sequence: 1}))
 	}
 }
 
-func encoded(t testing.TB, p *Packet) []byte {
+func mustEncode(t testing.TB, p *Packet) []byte {
 	b, err := encode(p)
 	assert.NilError(t, err)
 	return b
 }
 
-// failureOf is what an attempt that failed says of a target.
-func failureOf(i int) []Evidence {
-	return []Evidence{{Service: "bookings", Target: fleet.TargetID(fmt.Sprintf("i-%010d", i)), What: suspicion.Failure, AgeMillis: 300}}
+// failureEvidence returns the evidence of a failed attempt at a target.
+func failureEvidence(i int) []Evidence {
+	return []Evidence{{Service: "bookings", Target: fleet.TargetID(fmt.Sprintf("i-%010d", i)), Observation: suspicion.Failure, AgeMillis: 300}}
 }
 
-// TestNewsLeavesTheLinkFreeForAChange: in a fleet of 134 instances callers sent twice their
-// usual for three seconds, and a confirmed change of routes was in force at the readers of
-// the store 50 ms later and at nobody else for two seconds; requests went where the routes
-// of before led.
+// TestUpdatesDoNotDelayAnnouncements guards against updates that fill a bridge's link. In a fleet
+// of 134 instances under twice the usual load for three seconds, a confirmed change of routes was
+// in force at the readers of the store after 50 ms, but nowhere else for two seconds, so that
+// requests went to the targets of the old routes.
 //
-// Failed attempts are told to the two bridges of each other zone at once, and each bridge
-// passed each of them on to its 44 neighbours in a datagram of its own. Attempts that fail
-// grow with the load: at 600 a second a bridge sent 2.3 MB a second, headers left out,
-// over a link that carries 1.25. Its announcements, heartbeats, reads of the store and answers to pulls stood behind
-// these for seconds, and the first by rank of a zone were its bridges and its readers
-// alike, as were those that replaced them. Proved by the bytes that each instance sent, by
-// kind: 85 in 100 of those of the readers were passed on, and no link but theirs was full.
+// Each failed attempt is sent to the two bridges of each other zone at once, and each bridge
+// relayed it to its 44 neighbours in a datagram of its own: at 600 failed attempts per second, a
+// bridge sent 2.3 MB/s without headers over a link of 1.25 MB/s, which delayed its announcements,
+// heartbeats, store reads and responses to pulls by seconds. The bridges of a zone and its readers
+// of the store were the same instances, the first by rank, as were those that replaced them.
+// Relayed packets were 85% of the bytes that the readers sent, and only their links were full.
 //
-// Here one bridge gets as many, beside the news of its own 60 attempts a second, and what
-// it sends must not hold up an announcement for longer than a quarter of a second.
-func TestNewsLeavesTheLinkFreeForAChange(t *testing.T) {
+// Here one bridge relays 600 failures per second and sends 60 of its own, and must not delay an
+// announcement by more than 250 ms.
+func TestUpdatesDoNotDelayAnnouncements(t *testing.T) {
 	const (
-		neighbours = 44
-		senders    = 20
-		passed     = 600 // a second
-		own        = 60  // a second
-		lasts      = 1500 * time.Millisecond
-		wait       = 250 * time.Millisecond
+		neighbours       = 44
+		senders          = 20
+		relayedPerSecond = 600
+		ownPerSecond     = 60
+		duration         = 1500 * time.Millisecond
+		maxDelay         = 250 * time.Millisecond
 	)
-	n := inZoneOf(t, neighbours)
-	l := &link{node: n}
-	l.look()
-	sequence, told := 0, 0
-	for began := time.Now(); time.Since(began) < lasts; time.Sleep(time.Millisecond) {
-		for due := int(passed * time.Since(began).Seconds()); sequence < due; sequence++ {
-			n.Take(encoded(t, &Packet{
+	n := newNodeWithNeighbours(t, neighbours)
+	l := &simulatedLink{node: n}
+	l.update()
+	sequence, ownSent := 0, 0
+	for began := time.Now(); time.Since(began) < duration; time.Sleep(time.Millisecond) {
+		for due := int(relayedPerSecond * time.Since(began).Seconds()); sequence < due; sequence++ {
+			n.HandleDatagram(mustEncode(t, &Packet{
 				Addr: fmt.Sprintf("10.2.0.%d:7600", sequence%senders), Zone: "riga-b", Boot: began.UnixMilli(),
-				Sequence: uint64(sequence) + 1, Evidence: failureOf(sequence),
+				Sequence: uint64(sequence) + 1, Evidence: failureEvidence(sequence),
 			}))
 		}
-		for due := int(own * time.Since(began).Seconds()); told < due; told++ {
-			n.Tell(Packet{Load: []Load{{Target: "i-0000000001", InFlight: told % 3}}, Evidence: failureOf(told)})
+		for due := int(ownPerSecond * time.Since(began).Seconds()); ownSent < due; ownSent++ {
+			n.SendUpdate(Packet{Load: []Load{{Target: "i-0000000001", InFlight: ownSent % 3}}, Evidence: failureEvidence(ownSent)})
 		}
-		l.look()
+		l.update()
 	}
 	n.Announce(Packet{Versions: Versions{Document: 8}})
-	l.look()
-	assert.Assert(t, l.longest < wait, "an announcement waits for %v", l.longest.Round(time.Millisecond))
+	l.update()
+	assert.Assert(t, l.maxDelay < maxDelay, "an announcement is delayed by %v", l.maxDelay.Round(time.Millisecond))
 }
 
-// TestReadersOfALargeFleetAreHeardOften: the others replace a reader that was silent for three
-// of the shortest intervals, so that its heartbeats must not become rarer with the fleet.
-func TestReadersOfALargeFleetAreHeardOften(t *testing.T) {
+// TestReaderHeartbeatIntervalInLargeFleet: the others replace a reader that is silent for three of
+// the shortest intervals, so the interval of its heartbeats must not grow with the fleet.
+func TestReaderHeartbeatIntervalInLargeFleet(t *testing.T) {
 	const (
 		instances = 920
-		lasts     = 1300 * time.Millisecond
+		duration  = 1300 * time.Millisecond
 	)
 	heartbeats := func(log LogState) int {
 		sent := 0
 		n, err := Listen(Config{Addr: "127.0.0.1:0", Zone: "a", Boot: time.Now().Add(-time.Hour)}, Callbacks{
-			Fill: func(_ time.Time, p *Packet) {
+			FillHeartbeat: func(_ time.Time, p *Packet) {
 				p.Log = log
 				sent++
 			},
-			Greet:  func(time.Time, *Packet) {},
-			Digest: func(time.Time, bool) *Digest { return new(Digest) },
-			Take:   func(time.Time, *Packet) {},
+			FillGreeting: func(time.Time, *Packet) {},
+			Digest:       func(time.Time, bool) *Digest { return new(Digest) },
+			Handle:       func(time.Time, *Packet) {},
 		})
 		assert.NilError(t, err)
 		for i := range instances {
-			n.Know([]string{fmt.Sprintf("127.0.%d.%d:9", i/250+1, i%250+1)})
+			n.AddPeers([]string{fmt.Sprintf("127.0.%d.%d:9", i/250+1, i%250+1)})
 		}
-		for i := range bridges { // others that are before it in the zone's order
-			n.Take(encoded(t, &Packet{Addr: fmt.Sprintf("127.0.9.%d:9", i+1), Zone: "a", Boot: 1, Sequence: 1}))
+		for i := range bridgesPerZone { // members that precede it in the order of the zone
+			n.HandleDatagram(mustEncode(t, &Packet{Addr: fmt.Sprintf("127.0.9.%d:9", i+1), Zone: "a", Boot: 1, Sequence: 1}))
 		}
 		n.members.self.rank = math.MaxUint64
-		ctx, cancel := context.WithTimeout(t.Context(), lasts)
+		ctx, cancel := context.WithTimeout(t.Context(), duration)
 		defer cancel()
 		n.Run(ctx)
 		return sent
 	}
-	assert.Assert(t, heartbeats(LogAnswers) >= 4)
-	assert.Equal(t, heartbeats(LogUnread), 1+int(lasts/maxInterval))
+	assert.Assert(t, heartbeats(LogAvailable) >= 4)
+	assert.Equal(t, heartbeats(LogUnread), 1+int(duration/maxHeartbeatInterval))
 }
 
-// TestAProcessHasMetTheFleetOnceASeedOrAnotherZoneIsHeard: others that started behind the same
-// cut are a few of many, whatever they say.
-func TestAProcessHasMetTheFleetOnceASeedOrAnotherZoneIsHeard(t *testing.T) {
+// TestJoinedAfterSeedOrOtherZone: instances that started on the same side of a network partition
+// may be a few of many, whatever instance count they report.
+func TestJoinedAfterSeedOrOtherZone(t *testing.T) {
 	const seed, other = "10.0.0.1:1", "10.0.0.2:1"
 	now := time.Now()
 	fresh := func(seeds ...string) *members {
@@ -160,20 +159,20 @@
 		ms.seeds = seeds
 		return ms
 	}
-	assert.Assert(t, fresh().met(), "there are no seeds to meet")
-	assert.Assert(t, fresh("10.0.0.9:1").met(), "it is the only seed")
+	assert.Assert(t, fresh().joined(), "no seeds")
+	assert.Assert(t, fresh("10.0.0.9:1").joined(), "the only seed is the instance itself")
 
 	ms := fresh(seed, "10.0.0.9:1")
-	ms.heard(now, &Packet{Addr: other, Zone: "a", Boot: 1, Sequence: 1, Heartbeat: true, Instances: 130})
-	assert.Assert(t, !ms.view(now).Met)
-	assert.Equal(t, ms.view(now).Told, 130)
-	ms.heard(now, &Packet{Addr: seed, Zone: "a", Boot: 1, Sequence: 1})
-	assert.Assert(t, ms.view(now).Met)
+	ms.receive(now, &Packet{Addr: other, Zone: "a", Boot: 1, Sequence: 1, Heartbeat: true, Instances: 130})
+	assert.Assert(t, !ms.view(now).Joined)
+	assert.Equal(t, ms.view(now).MaxReportedInstances, 130)
+	ms.receive(now, &Packet{Addr: seed, Zone: "a", Boot: 1, Sequence: 1})
+	assert.Assert(t, ms.view(now).Joined)
 
 	ms = fresh(seed)
-	ms.heard(now, &Packet{Addr: other, Zone: "b", Boot: 1, Sequence: 1, Relayed: true, Digest: &Digest{Instances: 40}})
-	assert.Assert(t, ms.view(now).Met)
+	ms.receive(now, &Packet{Addr: other, Zone: "b", Boot: 1, Sequence: 1, Relayed: true, Digest: &Digest{Instances: 40}})
+	assert.Assert(t, ms.view(now).Joined)
 
-	later := now.Add(freshFor + time.Second)
-	assert.Equal(t, ms.view(later).Told, 0)
+	later := now.Add(freshTimeout + time.Second)
+	assert.Equal(t, ms.view(later).MaxReportedInstances, 0)
 }
--- a/mesh/loans.go
+++ b/mesh/loans.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// AskForLoans asks some neighbours, as many as given, for parts of retry budgets. It does
-// not wait for the link: there are a few small datagrams a second at most.
-func (n *Node) AskForLoans(asks []Loan, neighbours int) {
-	p := n.stamped()
-	p.Asks = asks
-	n.send(Loans, p, n.someNeighbours(neighbours))
+// RequestLoans asks up to count random neighbours for parts of retry budgets. It bypasses the
+// outbox, since there are at most a few small datagrams per second.
+func (n *Node) RequestLoans(requests []Loan, count int) {
+	p := n.newVersionedPacket()
+	p.LoanRequests = requests
+	n.send(Loans, p, n.randomNeighbours(count))
 }
 
-// Lend answers such an instance.
-func (n *Node) Lend(to string, loans []Loan) {
-	p := n.stamped()
+// SendLoans replies to a request for loans.
+func (n *Node) SendLoans(to string, loans []Loan) {
+	p := n.newVersionedPacket()
 	p.Loans = loans
 	n.sendTo(Loans, to, p)
 }
 
-// sendTo sends a packet to one instance, by its address.
+// sendTo sends a packet to one instance, given by its address.
 func (n *Node) sendTo(k Kind, to string, p *Packet) {
 	addr, err := netip.ParseAddrPort(to)
 	if err != nil {
-		return // nobody is reached under this name
+		return // not an address that a datagram can be sent to
 	}
 	n.send(k, p, []netip.AddrPort{addr})
 }
 
-// someNeighbours returns a random few of the zone.
-func (n *Node) someNeighbours(count int) []netip.AddrPort {
+// randomNeighbours returns up to count random instances of the own zone.
+func (n *Node) randomNeighbours(count int) []netip.AddrPort {
 	n.mu.Lock()
-	near := n.routesAt(time.Now()).near
+	neighbours := n.currentRoutes(time.Now()).neighbours
 	n.mu.Unlock()
 	var to []netip.AddrPort
-	for _, i := range rand.Perm(len(near))[:min(count, len(near))] {
-		to = append(to, near[i])
+	for _, i := range rand.Perm(len(neighbours))[:min(count, len(neighbours))] {
+		to = append(to, neighbours[i])
 	}
 	return to
 }
--- a/mesh/members.go
+++ b/mesh/members.go
@@ -15,46 +15,47 @@
 	"github.com/clementinereel/clementinereel/registry"
 )
 
-// Times after which a member that is not heard changes its standing.
+// Timeouts after which a member that sends no datagrams changes its state.
 const (
-	// freshFor is how long what a member told counts as its present state.
-	freshFor = 1500 * time.Millisecond
-	// silentAfter is when a member is reported as lost. It stays in the count of
-	// instances that share a budget.
-	silentAfter = 3 * time.Second
-	// lapsedAfter is when a member leaves the count. It is still sent a
-	// datagram now and then, in case a partition heals.
-	lapsedAfter = 12 * time.Second
-	// forgottenAfter is when a member that was not heard is dropped.
-	forgottenAfter = 5 * time.Minute
-	// lapsedEvery is the time between datagrams to a member that does not
-	// answer, or whose zone is another.
-	lapsedEvery = 2 * time.Second
-	// zoneFreshFor is how long a digest counts as a zone's present state.
-	zoneFreshFor = 3 * time.Second
+	// freshTimeout is the time for which what a member last sent counts as its current state.
+	freshTimeout = 1500 * time.Millisecond
+	// silentTimeout is the time after which a member is reported as lost. It remains in the
+	// instance count, by which budgets are shared.
+	silentTimeout = 3 * time.Second
+	// lapsedTimeout is the time after which a member leaves the instance count. It still gets a
+	// datagram every heartbeatRetryInterval, in case a partition heals.
+	lapsedTimeout = 12 * time.Second
+	// removalTimeout is the time after which a member is removed.
+	removalTimeout = 5 * time.Minute
+	// heartbeatRetryInterval is the interval between heartbeats to a member that sends no
+	// datagrams, in this zone or another.
+	heartbeatRetryInterval = 2 * time.Second
+	// zoneFreshTimeout is the time for which a digest counts as the current state of a zone.
+	zoneFreshTimeout = 3 * time.Second
 )
 
 const (
-	// knownSample is how many addresses a heartbeat names, and youngSample while
-	// this instance or one that it hears has just started: until they all know each
-	// other, each finds every sick target by itself.
-	knownSample = 3
-	youngSample = 16
-	// meetingFor is for how long a process counts as just started. Till then it sends
-	// heartbeats meetingSpeed times as often, also to instances that have not answered
-	// yet: where all start at once, seeds may come up last, and what one instance
-	// learns of targets the others learn only once they know each other.
-	meetingFor   = 3 * time.Second
-	meetingSpeed = 3
-	// bridges is how many instances of each zone stand between it and the others.
-	bridges = 2
-	// youngFor is how long a process leaves the part of a bridge to older ones.
-	youngFor = 10 * time.Second
-	// remembered is how many of a sender's last packets are known again.
-	remembered = 32
+	// peerSampleSize is the number of addresses in a heartbeat, and startupPeerSampleSize the
+	// number while this instance or one that it receives from has just started: until they have all
+	// discovered each other, each has to detect every unhealthy target by itself.
+	peerSampleSize        = 3
+	startupPeerSampleSize = 16
+	// startupPeriod is the time for which a process counts as just started. Meanwhile it sends
+	// heartbeats startupRateFactor times as often, including to instances that have not responded
+	// yet: if all instances start at once, seeds may start last, and observations of targets are
+	// shared only between instances that have discovered each other.
+	startupPeriod     = 3 * time.Second
+	startupRateFactor = 3
+	// bridgesPerZone is the number of instances of each zone that connect it to the others.
+	bridgesPerZone = 2
+	// minBridgeAge is the age up to which a process leaves the role of a bridge to older ones.
+	minBridgeAge = 10 * time.Second
+	// dedupWindow is the number of a sender's last packets that are remembered to detect
+	// duplicates.
+	dedupWindow = 32
 )
 
-// Member is what is known of another instance.
+// Member is the state of another instance.
 type Member struct {
 	Addr     string
 	Zone     fleet.Zone
@@ -63,89 +64,91 @@
 	Document document.Version
 	Registry registry.Position
 	Log      LogState
-	// Answered is when it last knew the store's log to answer somebody; zero if it does not tell.
-	Answered registry.Span
-	// Instances is how many instances it counts; 0 if it may know only some of them.
+	// LogAvailability is the last span in which the store's log responded to any instance, as the
+	// member reported it; zero if it reported none.
+	LogAvailability registry.Span
+	// Instances is the number of instances that the member counts; 0 if it may have discovered only
+	// some of them.
 	Instances int
-	// Heard is when the last datagram came from it directly; zero if none did.
-	Heard time.Time
+	// LastReceived is when the last datagram arrived from the member directly; zero if none did.
+	LastReceived time.Time
 }
 
-// Fresh tells whether the member was heard a moment ago.
+// Fresh reports whether the member's state is current.
 func (m *Member) Fresh(now time.Time) bool {
-	return !m.Heard.IsZero() && now.Sub(m.Heard) < freshFor
+	return !m.LastReceived.IsZero() && now.Sub(m.LastReceived) < freshTimeout
 }
 
-// Hear takes in what a packet that came from the member itself tells of it.
-func (m *Member) Hear(now time.Time, p *Packet) {
+// Update applies a packet that came from the member directly.
+func (m *Member) Update(now time.Time, p *Packet) {
 	if p.Heartbeat {
 		m.Instances = p.Instances
 	}
 	// Packets to other zones carry no versions.
 	m.Document, m.Registry = max(m.Document, p.Document), registry.Later(m.Registry, p.Position())
-	m.Log, m.Heard = p.Log, now
-	if p.Answered != nil {
-		m.Answered = p.Answered.Span(now)
+	m.Log, m.LastReceived = p.Log, now
+	if p.LogAvailability != nil {
+		m.LogAvailability = p.LogAvailability.Span(now)
 	}
 }
 
 type member struct {
 	Member
 	addr   netip.AddrPort
-	rank   ranked
+	rank   rankedAddr
 	added  time.Time
 	sentAt time.Time
 	silent bool
-	// bridgeAt is when a digest of its zone last came from it, by whatever way.
-	bridgeAt time.Time
-	seen     [remembered]uint64
-	seenNext int
+	// lastDigest is when a digest of its zone last arrived from it, directly or relayed.
+	lastDigest time.Time
+	seen       [dedupWindow]uint64
+	seenNext   int
 }
 
-// repeated tells whether the packet came before, and remembers it.
-func (m *member) repeated(sequence uint64) bool {
+// isDuplicate reports whether the packet has arrived before, and records it.
+func (m *member) isDuplicate(sequence uint64) bool {
 	if slices.Contains(m.seen[:], sequence) {
 		return true
 	}
-	m.seen[m.seenNext%remembered] = sequence
+	m.seen[m.seenNext%dedupWindow] = sequence
 	m.seenNext++
 	return false
 }
 
-// last is when the member was heard, or else made known.
-func (m *member) last() time.Time {
-	if m.Heard.IsZero() {
+// lastContact returns when a datagram last arrived from the member or, if none did, when it was
+// discovered.
+func (m *member) lastContact() time.Time {
+	if m.LastReceived.IsZero() {
 		return m.added
 	}
-	return m.Heard
+	return m.LastReceived
 }
 
-// zone is what is known of another zone.
+// zone is the state of another zone.
 type zone struct {
-	instances int
-	log       LogState
-	heard     time.Time
-	answered  registry.Span
+	instances       int
+	log             LogState
+	lastDigest      time.Time
+	logAvailability registry.Span
 }
 
 // members is the table of other instances and zones.
 type members struct {
-	self  ranked
+	self  rankedAddr
 	zone  fleet.Zone
 	boot  int64
 	table map[string]*member
 	zones map[fleet.Zone]*zone
 	seeds []string
-	// moved tells that a member has told of another version or standing since it was
-	// last false.
-	moved bool
+	// versionsChanged is set when a member reports other versions or another log state.
+	versionsChanged bool
 }
 
 func newMembers(self string, z fleet.Zone, boot int64) *members {
-	return &members{self: rankedBy(self), zone: z, boot: boot, table: make(map[string]*member), zones: make(map[fleet.Zone]*zone)}
+	return &members{self: newRankedAddr(self), zone: z, boot: boot, table: make(map[string]*member), zones: make(map[fleet.Zone]*zone)}
 }
 
-// add makes an instance known. Zone may be empty.
+// add adds an instance if it is not in the table. The zone may be empty.
 func (ms *members) add(now time.Time, addr string, z fleet.Zone) {
 	if addr == ms.self.addr {
 		return
@@ -160,85 +163,87 @@
 	if err != nil {
 		return
 	}
-	ms.table[addr] = &member{Member: Member{Addr: addr, Zone: z}, addr: ap, rank: rankedBy(addr), added: now}
+	ms.table[addr] = &member{Member: Member{Addr: addr, Zone: z}, addr: ap, rank: newRankedAddr(addr), added: now}
 }
 
-// Standing of a member after a datagram.
-type standing uint8
+// receiveResult classifies a packet that has just arrived.
+type receiveResult uint8
 
 const (
-	heardBefore standing = iota
-	heardFirst
-	heardAgain
-	// ignored: the packet is from an earlier process at the address, or came
-	// before.
-	ignored
+	memberKnown receiveResult = iota
+	// memberNew means that the packet is the first of a process.
+	memberNew
+	// memberReturned means that the member was silent before.
+	memberReturned
+	// packetIgnored means that the packet is a duplicate or from an earlier process at the address.
+	packetIgnored
 )
 
-func (ms *members) heard(now time.Time, p *Packet) (*member, standing) {
+func (ms *members) receive(now time.Time, p *Packet) (*member, receiveResult) {
 	ms.add(now, p.Addr, p.Zone)
 	m := ms.table[p.Addr]
 	if m == nil || p.Boot < m.Boot {
-		return m, ignored
+		return m, packetIgnored
 	}
-	later := p.Boot > m.Boot
-	if later {
-		m.seen, m.seenNext = [remembered]uint64{}, 0
+	restarted := p.Boot > m.Boot
+	if restarted {
+		m.seen, m.seenNext = [dedupWindow]uint64{}, 0
 	}
 	m.Zone, m.Boot, m.Leaving = p.Zone, p.Boot, p.Leaving
-	s := ms.direct(now, m, p, later)
-	if m.repeated(p.Sequence) {
-		return m, ignored
+	s := ms.receiveDirect(now, m, p, restarted)
+	if m.isDuplicate(p.Sequence) {
+		return m, packetIgnored
 	}
 	if p.Digest != nil && p.Zone != ms.zone {
-		m.bridgeAt = now
-		ms.zones[p.Zone] = &zone{instances: p.Digest.Instances, log: p.Log, heard: now, answered: p.Answered.Span(now)}
+		m.lastDigest = now
+		ms.zones[p.Zone] = &zone{instances: p.Digest.Instances, log: p.Log, lastDigest: now, logAvailability: p.LogAvailability.Span(now)}
 	}
 	return m, s
 }
 
-// direct notes a packet that came from its sender itself.
-func (ms *members) direct(now time.Time, m *member, p *Packet, later bool) standing {
+// receiveDirect records a packet that came from its sender directly.
+func (ms *members) receiveDirect(now time.Time, m *member, p *Packet, restarted bool) receiveResult {
 	if p.Relayed {
-		return heardBefore
+		return memberKnown
 	}
-	s := heardBefore
+	s := memberKnown
 	switch {
-	case m.Heard.IsZero() || later:
-		s = heardFirst
+	case m.LastReceived.IsZero() || restarted:
+		s = memberNew
 	case m.silent:
-		s = heardAgain
+		s = memberReturned
 	}
 	m.silent = false
-	if later {
-		m.Document, m.Registry, m.Instances, m.Answered = 0, registry.Position{}, 0, registry.Span{}
+	if restarted {
+		m.Document, m.Registry, m.Instances, m.LogAvailability = 0, registry.Position{}, 0, registry.Span{}
 	}
-	if m.moves(p) {
-		ms.moved = true
+	if m.changesVersions(p) {
+		ms.versionsChanged = true
 	}
-	m.Hear(now, p)
+	m.Update(now, p)
 	return s
 }
 
-// moves tells whether the packet changes what counts of its sender beside when it was heard.
-func (m *member) moves(p *Packet) bool {
+// changesVersions reports whether the packet changes the versions or the log state of its sender.
+func (m *member) changesVersions(p *Packet) bool {
 	return p.Document > m.Document || p.Position().After(m.Registry) || p.Log != m.Log
 }
 
-// beats returns the members that a heartbeat goes to: all of the own zone, and now
-// and then those that were never heard, unless a bridge speaks for their zone.
-func (ms *members) beats(now time.Time) []netip.AddrPort {
+// heartbeatRecipients returns the members that a heartbeat goes to: all of the own zone, and members
+// of other zones that have never sent a datagram, unless digests of their zone arrive. Lapsed members
+// and those that have never sent a datagram get one only every heartbeatRetryInterval.
+func (ms *members) heartbeatRecipients(now time.Time) []netip.AddrPort {
 	var to []netip.AddrPort
-	wait := lapsedEvery
-	if justStarted(now, ms.boot) {
-		wait = 0
+	retryInterval := heartbeatRetryInterval
+	if inStartup(now, ms.boot) {
+		retryInterval = 0
 	}
 	for _, m := range ms.table {
-		quiet := now.Sub(m.last()) > lapsedAfter || m.Heard.IsZero()
+		unresponsive := now.Sub(m.lastContact()) > lapsedTimeout || m.LastReceived.IsZero()
 		switch {
-		case m.Zone != ms.zone && (!m.Heard.IsZero() || ms.spokenFor(now, m.Zone)):
+		case m.Zone != ms.zone && (!m.LastReceived.IsZero() || ms.hasFreshDigest(now, m.Zone)):
 			continue
-		case quiet && now.Sub(m.sentAt) < wait:
+		case unresponsive && now.Sub(m.sentAt) < retryInterval:
 			continue
 		}
 		m.sentAt = now
@@ -247,30 +252,31 @@
 	return to
 }
 
-// interval is the time between heartbeats of members without a duty.
-func (ms *members) interval() time.Duration {
-	return min(max(minInterval, time.Duration(ms.inZone())*perMember), maxInterval)
+// heartbeatInterval returns the heartbeat interval of members that are neither readers nor bridges.
+func (ms *members) heartbeatInterval() time.Duration {
+	return min(max(minHeartbeatInterval, time.Duration(ms.zoneSize())*intervalPerMember), maxHeartbeatInterval)
 }
 
-// spokenFor tells whether digests of another zone arrive.
-func (ms *members) spokenFor(now time.Time, name fleet.Zone) bool {
+// hasFreshDigest reports whether digests of another zone arrive.
+func (ms *members) hasFreshDigest(now time.Time, name fleet.Zone) bool {
 	z := ms.zones[name]
-	return z != nil && now.Sub(z.heard) < zoneFreshFor
+	return z != nil && now.Sub(z.lastDigest) < zoneFreshTimeout
 }
 
-// neighbours returns the members of the own zone that news goes to, by name and address.
-func (ms *members) neighbours(now time.Time) (names []string, to []netip.AddrPort) {
+// neighbours returns the members of the own zone that updates go to, as address strings and, in the
+// same order, as parsed addresses.
+func (ms *members) neighbours(now time.Time) (addrs []string, to []netip.AddrPort) {
 	for _, m := range ms.table {
-		if m.Zone == ms.zone && !m.Heard.IsZero() && now.Sub(m.Heard) < silentAfter {
-			names = append(names, m.Addr)
+		if m.Zone == ms.zone && !m.LastReceived.IsZero() && now.Sub(m.LastReceived) < silentTimeout {
+			addrs = append(addrs, m.Addr)
 			to = append(to, m.addr)
 		}
 	}
-	return names, to
+	return addrs, to
 }
 
-// inZone is how many members may be in the own zone.
-func (ms *members) inZone() int {
+// zoneSize returns the number of members that may be in the own zone.
+func (ms *members) zoneSize() int {
 	n := 0
 	for _, m := range ms.table {
 		if m.Zone == ms.zone || m.Zone == "" {
@@ -280,7 +286,7 @@
 	return n
 }
 
-// bridges returns the instances of other zones that news goes to.
+// bridges returns the instances of other zones that updates go to.
 func (ms *members) bridges(now time.Time) []netip.AddrPort {
 	byZone := make(map[fleet.Zone][]*member)
 	for _, m := range ms.table {
@@ -290,18 +296,18 @@
 	}
 	var to []netip.AddrPort
 	for _, ms := range byZone {
-		for _, m := range firstBridges(now, ms) {
+		for _, m := range selectBridges(now, ms) {
 			to = append(to, m.addr)
 		}
 	}
 	return to
 }
 
-// firstBridges orders a zone's members by whether they acted as bridges lately and
-// by rank, and returns the first.
-func firstBridges(now time.Time, ms []*member) []*member {
+// selectBridges sorts a zone's members by whether they have acted as bridges recently and by rank,
+// and returns the first ones.
+func selectBridges(now time.Time, ms []*member) []*member {
 	slices.SortFunc(ms, func(a, b *member) int {
-		if x, y := now.Sub(a.bridgeAt) < zoneFreshFor, now.Sub(b.bridgeAt) < zoneFreshFor; x != y {
+		if x, y := now.Sub(a.lastDigest) < zoneFreshTimeout, now.Sub(b.lastDigest) < zoneFreshTimeout; x != y {
 			if x {
 				return -1
 			}
@@ -309,70 +315,70 @@
 		}
 		return a.rank.compare(b.rank)
 	})
-	return ms[:min(len(ms), bridges)]
+	return ms[:min(len(ms), bridgesPerZone)]
 }
 
-// place is this instance's place in its zone's order of ranks, from 0. The first
-// ones are the bridges.
-func (ms *members) place(now time.Time) int {
+// position returns this instance's position in its zone's order of ranks, from 0. The first ones
+// are the bridges.
+func (ms *members) position(now time.Time) int {
 	before := 0
-	young := ms.young(now, ms.boot)
+	young := ms.belowBridgeAge(now, ms.boot)
 	for _, m := range ms.table {
 		if m.Zone != ms.zone || m.Leaving || !m.Fresh(now) {
 			continue
 		}
-		theirs := ms.young(now, m.Boot)
-		if (young && !theirs) || (young == theirs && m.rank.compare(ms.self) < 0) {
+		otherYoung := ms.belowBridgeAge(now, m.Boot)
+		if (young && !otherYoung) || (young == otherYoung && m.rank.compare(ms.self) < 0) {
 			before++
 		}
 	}
 	return before
 }
 
-// young tells whether a process started so lately that it cannot know what its zone
-// did within a budget's window.
-func (ms *members) young(now time.Time, boot int64) bool {
-	return now.UnixMilli()-boot < youngFor.Milliseconds()
+// belowBridgeAge reports whether a process started so recently that it may not have received all
+// that its zone reported within a budget's window.
+func (ms *members) belowBridgeAge(now time.Time, boot int64) bool {
+	return now.UnixMilli()-boot < minBridgeAge.Milliseconds()
 }
 
-// ranked is an instance and its rank, which is worked out once: a fleet is sorted by it
-// several times a second.
-type ranked struct {
+// rankedAddr is the address of an instance with its rank. The rank is stored because a fleet is
+// sorted by it several times per second.
+type rankedAddr struct {
 	addr string
 	rank uint64
 }
 
-func rankedBy(addr string) ranked { return ranked{addr, Rank(addr)} }
+func newRankedAddr(addr string) rankedAddr { return rankedAddr{addr, Rank(addr)} }
 
-// compare orders instances by rank, and by address where two have the same.
-func (r ranked) compare(other ranked) int {
+// compare orders instances by rank and, if equal, by address.
+func (r rankedAddr) compare(other rankedAddr) int {
 	if r.rank != other.rank {
 		return cmp.Compare(r.rank, other.rank)
 	}
 	return strings.Compare(r.addr, other.addr)
 }
 
-// Rank is an instance's place in the order by which roles fall on instances; the
-// lowest comes first. The order is the same everywhere and has nothing to do with that
-// of the addresses.
+// Rank determines the order in which roles are assigned to instances; the lowest comes first. It is
+// a hash of the address, so that the order is the same everywhere and independent of that of the
+// addresses.
 func Rank(addr string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(addr)) // a hash takes every write
+	_, _ = h.Write([]byte(addr)) // writing to a hash never fails
 	x := h.Sum64()
 	x ^= x >> 33
 	return x * 0xff51afd7ed558ccd
 }
 
-// expire returns the members that have just become silent.
+// expire removes members after removalTimeout and returns those that have just become silent.
 func (ms *members) expire(now time.Time) []string {
 	var lost []string
 	for addr, m := range ms.table {
 		switch {
-		case m.Zone != ms.zone && !m.Heard.IsZero():
-			continue // not expected to be heard
-		case now.Sub(m.last()) > forgottenAfter:
+		case m.Zone != ms.zone && !m.LastReceived.IsZero():
+			continue // members of other zones send no heartbeats to this instance
+		case now.Sub(m.lastContact()) > removalTimeout:
 			delete(ms.table, addr)
-		case !m.Heard.IsZero() && !m.silent && now.Sub(m.Heard) > silentAfter:
+		case !m.LastReceived.IsZero() && !m.silent && now.Sub(m.LastReceived) > silentTimeout:
 			m.silent = true
 			lost = append(lost, addr)
 		}
@@ -380,137 +386,140 @@
 	return lost
 }
 
-// met tells whether the instance has met the fleet that it was started in: one of its seeds,
-// at which all others announce themselves too, or a bridge of another zone.
-func (ms *members) met() bool {
+// joined reports whether the instance has joined the fleet that it was started in: it has received
+// a datagram from one of its seeds, to which all other instances announce themselves too, or a
+// digest of another zone.
+func (ms *members) joined() bool {
 	others := 0
 	for _, addr := range ms.seeds {
 		if addr == ms.self.addr {
 			continue
 		}
 		others++
-		if m := ms.table[addr]; m != nil && !m.Heard.IsZero() {
+		if m := ms.table[addr]; m != nil && !m.LastReceived.IsZero() {
 			return true
 		}
 	}
 	return others == 0 || len(ms.zones) > 0
 }
 
-// view copies what counts.
+// view returns a snapshot of the table.
 func (ms *members) view(now time.Time) View {
-	v := View{At: now, Zone: ms.zone, Known: len(ms.table), Met: ms.met()}
+	v := View{At: now, Zone: ms.zone, PeerCount: len(ms.table), Joined: ms.joined()}
 	for _, m := range ms.table {
-		if m.Heard.IsZero() || now.Sub(m.Heard) > lapsedAfter {
+		if m.LastReceived.IsZero() || now.Sub(m.LastReceived) > lapsedTimeout {
 			continue
 		}
 		v.Members = append(v.Members, m.Member)
 		if m.Fresh(now) {
-			v.Told = max(v.Told, m.Instances)
+			v.MaxReportedInstances = max(v.MaxReportedInstances, m.Instances)
 		}
 	}
 	for name, z := range ms.zones {
-		if now.Sub(z.heard) < lapsedAfter {
-			v.Zones = append(v.Zones, Zone{Name: name, Instances: z.instances, Log: z.log, Heard: z.heard, Answered: z.answered})
+		if now.Sub(z.lastDigest) < lapsedTimeout {
+			v.Zones = append(v.Zones, Zone{Name: name, Instances: z.instances, Log: z.log, LastDigest: z.lastDigest, LogAvailability: z.logAvailability})
 		}
 	}
 	sort.Slice(v.Members, func(a, b int) bool { return v.Members[a].Addr < v.Members[b].Addr })
 	return v
 }
 
-func (ms *members) sample(now time.Time) []Known {
-	var fresh []Known
+func (ms *members) samplePeers(now time.Time) []Peer {
+	var fresh []Peer
 	for _, m := range ms.table {
-		if m.Fresh(now) || now.Sub(m.bridgeAt) < zoneFreshFor {
-			fresh = append(fresh, Known{Addr: m.Addr, Zone: m.Zone})
+		if m.Fresh(now) || now.Sub(m.lastDigest) < zoneFreshTimeout {
+			fresh = append(fresh, Peer{Addr: m.Addr, Zone: m.Zone})
 		}
 	}
 	rand.Shuffle(len(fresh), func(a, b int) { fresh[a], fresh[b] = fresh[b], fresh[a] })
-	n := knownSample
-	if ms.meeting(now) {
-		n = youngSample
+	n := peerSampleSize
+	if ms.startupUnderway(now) {
+		n = startupPeerSampleSize
 	}
 	return fresh[:min(len(fresh), n)]
 }
 
-// meeting tells whether this instance or one that it hears has just started.
-func (ms *members) meeting(now time.Time) bool {
-	if justStarted(now, ms.boot) {
+// startupUnderway reports whether this instance or one that it receives from has just started.
+func (ms *members) startupUnderway(now time.Time) bool {
+	if inStartup(now, ms.boot) {
 		return true
 	}
 	for _, m := range ms.table {
-		if m.Fresh(now) && justStarted(now, m.Boot) {
+		if m.Fresh(now) && inStartup(now, m.Boot) {
 			return true
 		}
 	}
 	return false
 }
 
-func justStarted(now time.Time, boot int64) bool {
-	return now.UnixMilli()-boot < meetingFor.Milliseconds()
+func inStartup(now time.Time, boot int64) bool {
+	return now.UnixMilli()-boot < startupPeriod.Milliseconds()
 }
 
-// View is a snapshot of the other instances, sorted by address, and of the other
-// zones.
+// View is a snapshot of the other instances, sorted by address, and of the other zones.
 type View struct {
 	At      time.Time
 	Zone    fleet.Zone
 	Members []Member
 	Zones   []Zone
-	// Known is how many other instances are known by name, heard or not.
-	Known int
-	// Met tells whether this instance has heard a seed or of another zone, or has no seeds.
-	// One that has not may know a few of many.
-	Met bool
-	// Told is the largest number of instances that a member counts; 0 if none is sure.
-	Told int
-	// Interval is the time between heartbeats of members without a duty.
+	// PeerCount is the number of other instances in the table, including those that have never sent
+	// a datagram.
+	PeerCount int
+	// Joined is set if this instance has received from a seed or another zone, or has no seeds.
+	// Otherwise it may have discovered only a few of many instances.
+	Joined bool
+	// MaxReportedInstances is the largest instance count that a member reports; 0 if none is
+	// certain of its count.
+	MaxReportedInstances int
+	// Interval is the heartbeat interval of members that are neither readers nor bridges.
 	Interval time.Duration
 }
 
-// Zone is what its bridges last told of another zone.
+// Zone is the state of another zone as its bridges last reported it.
 type Zone struct {
-	Name      fleet.Zone
-	Instances int
-	Log       LogState
-	Heard     time.Time
-	// Answered is when its bridges last knew the store's log to answer somebody.
-	Answered registry.Span
+	Name       fleet.Zone
+	Instances  int
+	Log        LogState
+	LastDigest time.Time
+	// LogAvailability is the last span in which the store's log responded to any instance, as the
+	// bridges reported it.
+	LogAvailability registry.Span
 }
 
-// Fresh tells whether the zone was heard of a moment ago.
-func (z *Zone) Fresh(now time.Time) bool { return now.Sub(z.Heard) < zoneFreshFor }
+// Fresh reports whether digests of the zone arrive.
+func (z *Zone) Fresh(now time.Time) bool { return now.Sub(z.LastDigest) < zoneFreshTimeout }
 
-// Instances is how many instances there are at most, this one included. Those that
-// were named and never heard count too: they may be on the other side of a cut.
+// Instances returns the maximum number of instances in the fleet, including this one. Those that
+// have never sent a datagram count too, since they may be on the other side of a network partition.
 func (v View) Instances() int {
-	n := v.InZone()
+	n := v.ZoneInstances()
 	for i := range v.Zones {
 		n += v.Zones[i].Instances
 	}
-	return max(n, v.Known+1)
+	return max(n, v.PeerCount+1)
 }
 
-// Times in which a member that has a duty for the others must be heard: dutyLeast for one
-// that reads the store, whose heartbeats are minInterval apart however many instances
-// there are, and at least dutyBeats intervals for others. A reader that falls silent is
-// replaced soon enough for a change to be in force everywhere within 2 s.
+// Timeouts for a member whose role the others depend on: minResponsiveTimeout for a reader of the
+// store, which sends heartbeats every minHeartbeatInterval in a fleet of any size, and at least
+// responsiveIntervals heartbeat intervals for others. A silent reader is thus replaced soon enough
+// for a change to be in force everywhere within 2 s.
 const (
-	dutyLeast = dutyBeats * minInterval
-	dutyBeats = 3
+	minResponsiveTimeout = responsiveIntervals * minHeartbeatInterval
+	responsiveIntervals  = 3
 )
 
-// OnDuty tells whether the member was heard so lately that the others may rely on
-// what it does for them.
-func (v View) OnDuty(m *Member) bool {
-	within := dutyLeast
+// Responsive reports whether a datagram from the member arrived so recently that the others may
+// depend on its role.
+func (v View) Responsive(m *Member) bool {
+	within := minResponsiveTimeout
 	if m.Log == LogUnread {
-		within = max(dutyLeast, dutyBeats*v.Interval)
+		within = max(minResponsiveTimeout, responsiveIntervals*v.Interval)
 	}
-	return !m.Heard.IsZero() && v.At.Sub(m.Heard) < within
+	return !m.LastReceived.IsZero() && v.At.Sub(m.LastReceived) < within
 }
 
-// InZone is how many instances the own zone has, this one included.
-func (v View) InZone() int {
+// ZoneInstances returns the number of instances in the own zone, including this one.
+func (v View) ZoneInstances() int {
 	n := 1
 	for i := range v.Members {
 		if v.Members[i].Zone == v.Zone {
--- a/mesh/news.go
+++ b/mesh/news.go
@@ -8,61 +8,63 @@
 	"github.com/clementinereel/clementinereel/suspicion"
 )
 
-// Tell sends a packet with the given evidence and load, at once where the link
-// allows. Other zones get the evidence only, without successes: those and the load are
+// SendUpdate queues the evidence, load and contents of p and sends them at once if the link's share
+// allows. Other zones get only contents and evidence other than successes; successes and load are
 // in the digests.
-func (n *Node) Tell(p Packet) {
+func (n *Node) SendUpdate(p Packet) {
 	n.mu.Lock()
 	n.versions = p.Versions
-	n.outbox.add(time.Now(), &p)
+	n.outbox.addOwn(time.Now(), &p)
 	n.mu.Unlock()
 	n.flush()
 }
 
-// TellLoad tells the neighbours for which concerns is true what this instance has in flight
-// at a target, at once where the link allows. The others learn it by the next heartbeat.
-func (n *Node) TellLoad(l Load, concerns func(addr string) bool) {
+// SendLoad sends the number of requests that this instance has in flight at a target to the
+// neighbours whose address satisfies match, at once if the link's share allows. The others get it
+// in the next heartbeat.
+func (n *Node) SendLoad(l Load, match func(addr string) bool) {
 	now := time.Now()
 	n.mu.Lock()
-	if n.outbox.wait(now) > 0 {
-		n.outbox.add(now, &Packet{Load: []Load{l}})
+	if n.outbox.linkDelay(now) > 0 {
+		n.outbox.addOwn(now, &Packet{Load: []Load{l}})
 		n.mu.Unlock()
 		n.flush()
 		return
 	}
-	r := *n.routesAt(now)
+	r := *n.currentRoutes(now)
 	n.mu.Unlock()
-	p := n.stamped()
+	p := n.newVersionedPacket()
 	p.Load = []Load{l}
-	n.send(News, p, r.concerned(concerns))
+	n.send(Updates, p, r.matching(match))
 }
 
-// TellBackoff tells the neighbours for which concerns is true at once of a target from which this instance backs off. It
-// does not wait for the link: what it spares is more than the datagram.
-func (n *Node) TellBackoff(t TargetBackoff, concerns func(addr string) bool) {
+// SendBackoff sends a target from which this instance backs off to the neighbours whose address
+// satisfies match. It bypasses the outbox, since it saves more traffic than it causes.
+func (n *Node) SendBackoff(t TargetBackoff, match func(addr string) bool) {
 	n.mu.Lock()
-	r := *n.routesAt(time.Now())
+	r := *n.currentRoutes(time.Now())
 	n.mu.Unlock()
-	p := n.stamped()
+	p := n.newVersionedPacket()
 	p.Backoffs = []TargetBackoff{t}
-	n.send(News, p, r.concerned(concerns))
+	n.send(Updates, p, r.matching(match))
 }
 
-// TellContents tells the own zone and the bridges of the others at once of contents that the store kept, of which
-// some are upheld. It does not wait for the link: it is done once as a process starts.
-func (n *Node) TellContents(contents []ContentEvidence, upheld []quarantine.Fingerprint) {
-	p := n.stamped()
+// AnnounceContents sends contents that the store kept, some of them upheld, to the own zone and the
+// bridges of the others at once. It bypasses the outbox, since it is called once, as a process
+// starts.
+func (n *Node) AnnounceContents(contents []ContentEvidence, upheld []quarantine.Fingerprint) {
+	p := n.newVersionedPacket()
 	p.Contents, p.Upheld = contents, upheld
-	n.send(News, p, n.neighbours(true))
+	n.send(Updates, p, n.recipients(true))
 }
 
-// flush sends the news that waits, as far as the link allows, and the rest later.
+// flush sends the queued updates as far as the link's share allows, and schedules the rest.
 func (n *Node) flush() {
 	for n.flushOnce() {
 	}
 }
 
-// flushOnce sends one datagram's news. It tells false if there is none, or if it must
+// flushOnce sends one datagram of updates. It returns false if none are queued or if they have to
 // wait.
 func (n *Node) flushOnce() bool {
 	now := time.Now()
@@ -71,83 +73,84 @@
 		n.mu.Unlock()
 		return false
 	}
-	if left := max(n.outbox.wait(now), n.outbox.gathers(now)); left > 0 {
-		n.flushAfter(now, left)
+	if delay := max(n.outbox.linkDelay(now), n.outbox.batchWait(now)); delay > 0 {
+		n.scheduleFlush(now, delay)
 		n.mu.Unlock()
 		return false
 	}
-	news, digest := n.outbox.next(now)
-	r := *n.routesAt(now)
+	update, digest := n.outbox.next(now)
+	r := *n.currentRoutes(now)
 	n.mu.Unlock()
-	if news != nil {
-		n.sendNews(news, r.near, r.far)
+	if update != nil {
+		n.sendBatch(update, r.neighbours, r.bridges)
 	}
 	if digest != nil {
 		digest.Relayed = true
-		n.send(Passed, digest, r.near)
+		n.send(Relayed, digest, r.neighbours)
 	}
 	return true
 }
 
-// flushAfter arranges for a later flush; the lock is held.
-func (n *Node) flushAfter(now time.Time, d time.Duration) {
+// scheduleFlush schedules a later flush. n.mu must be held.
+func (n *Node) scheduleFlush(now time.Time, d time.Duration) {
 	at := now.Add(d)
-	if armed := n.outbox.armedFor; armed.After(now) && !at.Before(armed) {
+	if scheduled := n.outbox.flushAt; scheduled.After(now) && !at.Before(scheduled) {
 		return
 	}
-	n.outbox.armedFor = at
+	n.outbox.flushAt = at
 	time.AfterFunc(d, n.flush)
 }
 
-// sendNews sends own news and that of other zones to the own zone, and own evidence to
-// the other zones.
-func (n *Node) sendNews(news *Packet, near, far []netip.AddrPort) {
-	own := len(news.Evidence)+len(news.Load)+len(news.Contents) > 0
-	if !own && len(news.Passed) == 1 {
-		alone := news.Passed[0]
-		alone.Relayed = true
-		n.send(Passed, alone, near)
+// sendBatch sends own updates and those of other zones to the own zone, and own contents and
+// evidence other than successes to the other zones.
+func (n *Node) sendBatch(update *Packet, neighbours, bridges []netip.AddrPort) {
+	own := len(update.Evidence)+len(update.Load)+len(update.Contents) > 0
+	if !own && len(update.RelayedPackets) == 1 {
+		single := update.RelayedPackets[0]
+		single.Relayed = true
+		n.send(Relayed, single, neighbours)
 		return
 	}
-	q := n.stamped()
-	q.Evidence, q.Load, q.Passed, q.Contents = news.Evidence, news.Load, news.Passed, news.Contents
-	kind := News
+	q := n.newVersionedPacket()
+	q.Evidence, q.Load, q.RelayedPackets, q.Contents = update.Evidence, update.Load, update.RelayedPackets, update.Contents
+	kind := Updates
 	if !own {
-		kind = Passed
+		kind = Relayed
 	}
-	n.send(kind, q, near)
-	if urgent := withoutSuccesses(news.Evidence); len(urgent)+len(news.Contents) > 0 {
-		across := n.packet()
-		across.Evidence, across.Contents = urgent, news.Contents
-		n.send(News, across, far)
+	n.send(kind, q, neighbours)
+	if evidence := withoutSuccesses(update.Evidence); len(evidence)+len(update.Contents) > 0 {
+		remote := n.newPacket()
+		remote.Evidence, remote.Contents = evidence, update.Contents
+		n.send(Updates, remote, bridges)
 	}
 }
 
 func withoutSuccesses(es []Evidence) []Evidence {
 	var out []Evidence
 	for _, e := range es {
-		if e.What != suspicion.Success {
+		if e.Observation != suspicion.Success {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-// relay passes a packet of another zone on within the own one.
+// relay queues a packet of another zone to be relayed within the own zone.
 func (n *Node) relay(now time.Time, p *Packet) {
 	if p.Zone == n.cfg.Zone || p.Relayed || (len(p.Evidence)+len(p.Contents) == 0 && p.Digest == nil) {
 		return
 	}
 	n.mu.Lock()
-	n.outbox.pass(now, p, n.gatherTime(now))
+	n.outbox.addRelay(now, p, n.relayDelay(now))
 	n.mu.Unlock()
 	n.flush()
 }
 
-// gatherTime is how long this instance keeps what it passes on; the lock is held.
-func (n *Node) gatherTime(now time.Time) time.Duration {
-	if n.routesAt(now).place == 0 {
-		return gatherFor
+// relayDelay returns the time for which this instance holds packets before it relays them. n.mu
+// must be held.
+func (n *Node) relayDelay(now time.Time) time.Duration {
+	if n.currentRoutes(now).position == 0 {
+		return batchDelay
 	}
-	return secondAfter
+	return standbyRelayDelay
 }
--- a/mesh/node.go
+++ b/mesh/node.go
@@ -16,73 +16,74 @@
 )
 
 const (
-	// minInterval is the time between heartbeats in a small fleet.
-	minInterval = 300 * time.Millisecond
-	// perMember stretches the interval with the zone, so that an instance sends about
-	// 1/perMember datagrams a second, up to maxInterval: each member is to be heard twice
-	// within silentAfter.
-	perMember   = 24 * time.Millisecond
-	maxInterval = 1400 * time.Millisecond
-	// digestEvery is the time between the digests that the first bridge sends.
-	// It costs bytes between zones; what other zones see of targets is worth more.
-	digestEvery = 300 * time.Millisecond
-	// spareDigestEvery is that of the other bridges, which only show that they
-	// are there.
-	spareDigestEvery = time.Second
+	// minHeartbeatInterval is the heartbeat interval in a small fleet.
+	minHeartbeatInterval = 300 * time.Millisecond
+	// intervalPerMember stretches the interval with the size of the zone, so that an instance sends
+	// about 1/intervalPerMember datagrams per second, up to maxHeartbeatInterval: two heartbeats of
+	// each member must fit into silentTimeout.
+	intervalPerMember    = 24 * time.Millisecond
+	maxHeartbeatInterval = 1400 * time.Millisecond
+	// digestInterval is the interval at which the first bridge sends digests. Shorter intervals
+	// cost bytes between zones, but up-to-date observations of targets are worth more.
+	digestInterval = 300 * time.Millisecond
+	// standbyDigestInterval is the interval for the other bridges, which only show that they are
+	// running.
+	standbyDigestInterval = time.Second
 )
 
-// Digester sums up the own zone. First tells that this instance is the one to tell of
+// Digester summarizes the own zone. If first is set, this instance is the one that reports
 // successes.
 type Digester func(now time.Time, first bool) *Digest
 
-// Config says who the instance is.
+// Config configures a Node.
 type Config struct {
-	// Addr is the IP address and port to listen at, which others know it by.
+	// Addr is the IP address and port to listen on, by which others reach and identify the
+	// instance.
 	Addr string
 	Zone fleet.Zone
-	// Boot is when the process started.
+	// Boot is the start time of the process.
 	Boot time.Time
-	// Seeds are addresses of instances that may run.
+	// Seeds are addresses at which instances may be running.
 	Seeds []string
-	// LinkBytes is what the instance's link carries, in bytes a second. Default:
+	// LinkBytes is the capacity of the instance's link in bytes per second. Default:
 	// DefaultLinkBytes.
 	LinkBytes int64
 }
 
-// Handler takes in a packet of another instance.
+// Handler processes a packet of another instance.
 type Handler func(now time.Time, p *Packet)
 
-// Callbacks are what a node needs of its instance.
+// Callbacks are the functions of the instance that a Node calls.
 type Callbacks struct {
-	// Fill completes each heartbeat, and Greet the first datagram to an instance that
-	// was just found.
-	Fill, Greet func(now time.Time, p *Packet)
-	// Digest sums up the own zone.
+	// FillHeartbeat completes each heartbeat, and FillGreeting the first datagram to an instance
+	// that was just discovered.
+	FillHeartbeat, FillGreeting func(now time.Time, p *Packet)
+	// Digest summarizes the own zone.
 	Digest Digester
-	// Take gets each packet that arrives.
-	Take Handler
+	// Handle processes each packet that arrives.
+	Handle Handler
 }
 
-// Node is the instance's end of the mesh. It is safe for concurrent use.
+// Node is an instance's endpoint in the mesh. It is safe for concurrent use.
 type Node struct {
-	cfg     Config
-	conn    *net.UDPConn
-	calls   Callbacks
-	mu      sync.Mutex
-	members *members
-	leaving bool
-	// sequence is that of the last packet.
-	sequence uint64
-	digestAt time.Time
-	meter    meter
-	outbox   *outbox
-	versions Versions // that the instance last told of itself
-	routes   routes
-	view     View
+	cfg       Config
+	conn      *net.UDPConn
+	callbacks Callbacks
+	mu        sync.Mutex
+	members   *members
+	leaving   bool
+	// sequence is the number of the last packet.
+	sequence   uint64
+	lastDigest time.Time
+	meter      meter
+	outbox     *outbox
+	versions   Versions // as last sent by this instance
+	routes     routes
+	view       View
 }
 
-// Listen opens the socket.
-func Listen(cfg Config, calls Callbacks) (*Node, error) {
+// Listen opens the socket and returns a Node. Run starts its operation.
+func Listen(cfg Config, callbacks Callbacks) (*Node, error) {
 	addr, err := net.ResolveUDPAddr("udp4", cfg.Addr)
 	if err != nil {
 		return nil, errors.WithStack(err)
@@ -94,17 +95,17 @@
 	if addr.Port == 0 {
 		cfg.Addr = conn.LocalAddr().String()
 	}
-	n := &Node{cfg: cfg, conn: conn, calls: calls, members: newMembers(cfg.Addr, cfg.Zone, cfg.Boot.UnixMilli()), outbox: newOutbox(cfg.LinkBytes)}
+	n := &Node{cfg: cfg, conn: conn, callbacks: callbacks, members: newMembers(cfg.Addr, cfg.Zone, cfg.Boot.UnixMilli()), outbox: newOutbox(cfg.LinkBytes)}
 	n.members.seeds = cfg.Seeds
-	n.Know(cfg.Seeds)
+	n.AddPeers(cfg.Seeds)
 	return n, nil
 }
 
-// Addr is the address that others know the instance by.
+// Addr returns the address by which others reach and identify the instance.
 func (n *Node) Addr() string { return n.cfg.Addr }
 
-// Know makes addresses known.
-func (n *Node) Know(addrs []string) {
+// AddPeers adds the addresses of instances that may be running.
+func (n *Node) AddPeers(addrs []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
@@ -113,12 +114,12 @@
 	}
 }
 
-// Leave makes the instance say that it is stopping.
+// Leave announces that the instance is stopping.
 func (n *Node) Leave() {
 	n.mu.Lock()
 	n.leaving = true
 	n.mu.Unlock()
-	n.Beat()
+	n.SendHeartbeat()
 }
 
 // Stats returns the counts so far.
@@ -130,147 +131,147 @@
 	return s
 }
 
-// Run sends heartbeats and takes in packets until ctx ends.
+// Run sends heartbeats and handles datagrams until ctx ends.
 func (n *Node) Run(ctx context.Context) {
 	go n.receive()
 	defer n.conn.Close()
 	for {
-		n.Beat()
+		n.SendHeartbeat()
 		n.expire()
-		if !n.rest(ctx) {
+		if !n.waitForHeartbeat(ctx) {
 			return
 		}
 	}
 }
 
-// rest waits until the next heartbeat is due. An instance that becomes a reader meanwhile
-// sends it earlier. It tells false if ctx has ended.
-func (n *Node) rest(ctx context.Context) bool {
+// waitForHeartbeat waits until the next heartbeat is due, which is earlier if the instance becomes
+// a reader meanwhile. It returns false if ctx has ended.
+func (n *Node) waitForHeartbeat(ctx context.Context) bool {
 	for since := time.Now(); ; {
-		left := n.interval() - time.Since(since)
+		left := n.heartbeatInterval() - time.Since(since)
 		if left <= 0 {
 			return ctx.Err() == nil
 		}
-		if !wait.For(ctx, min(left, minInterval)) {
+		if !wait.For(ctx, min(left, minHeartbeatInterval)) {
 			return false
 		}
 	}
 }
 
-func (n *Node) interval() time.Duration {
+func (n *Node) heartbeatInterval() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.beatEvery()
+	return n.heartbeatIntervalLocked()
 }
 
-// beatEvery is the time between heartbeats. It does not grow with the zone for readers of
-// the store and bridges, of which there are a few in each: others replace one that falls
-// silent.
-func (n *Node) beatEvery() time.Duration {
-	every := minInterval
-	if n.versions.Log == LogUnread && n.routes.place >= bridges {
-		every = n.members.interval()
+// heartbeatIntervalLocked returns the heartbeat interval. It does not grow with the zone for
+// readers of the store and for bridges, of which each zone has only a few: others replace one that
+// becomes silent. n.mu must be held.
+func (n *Node) heartbeatIntervalLocked() time.Duration {
+	interval := minHeartbeatInterval
+	if n.versions.Log == LogUnread && n.routes.position >= bridgesPerZone {
+		interval = n.members.heartbeatInterval()
 	}
-	if justStarted(time.Now(), n.members.boot) {
-		every /= meetingSpeed
+	if inStartup(time.Now(), n.members.boot) {
+		interval /= startupRateFactor
 	}
-	return every
+	return interval
 }
 
-// Beat sends a heartbeat now.
-func (n *Node) Beat() {
+// SendHeartbeat sends a heartbeat now.
+func (n *Node) SendHeartbeat() {
 	now := time.Now()
-	p := n.packet()
+	p := n.newPacket()
 	p.Heartbeat = true
 	n.mu.Lock()
-	n.outbox.superseded()
+	n.outbox.dropLoads()
 	n.mu.Unlock()
-	n.calls.Fill(now, p)
+	n.callbacks.FillHeartbeat(now, p)
 	n.mu.Lock()
 	n.versions = p.Versions
-	p.Known = n.members.sample(now)
-	to := n.members.beats(now)
-	place := n.routesAt(now).place
+	p.Peers = n.members.samplePeers(now)
+	to := n.members.heartbeatRecipients(now)
+	position := n.currentRoutes(now).position
 	n.mu.Unlock()
 	n.send(Heartbeats, p, to)
-	if place < bridges {
-		n.sendDigest(now, p, place == 0)
+	if position < bridgesPerZone {
+		n.sendDigest(now, p, position == 0)
 	}
 }
 
-// sendDigest tells other zones what the own zone does, if that is due.
-func (n *Node) sendDigest(now time.Time, beat *Packet, first bool) {
-	every := digestEvery
+// sendDigest sends a digest of the own zone to the other zones if one is due.
+func (n *Node) sendDigest(now time.Time, heartbeat *Packet, first bool) {
+	interval := digestInterval
 	if !first {
-		every = spareDigestEvery
+		interval = standbyDigestInterval
 	}
 	n.mu.Lock()
-	across := n.routesAt(now).far
-	due := now.Sub(n.digestAt) >= every && len(across) > 0
+	bridges := n.currentRoutes(now).bridges
+	due := now.Sub(n.lastDigest) >= interval && len(bridges) > 0
 	if due {
-		n.digestAt = now
+		n.lastDigest = now
 	}
 	n.mu.Unlock()
 	if !due {
 		return
 	}
-	p := n.packet()
-	p.Versions, p.Known, p.Contents, p.Answered, p.Rates = beat.Versions, beat.Known, beat.Contents, beat.Answered, beat.Rates
-	p.Departures, p.Upheld = beat.Departures, beat.Upheld
-	p.Digest = n.calls.Digest(now, first)
-	n.send(Digests, p, across)
+	p := n.newPacket()
+	p.Versions, p.Peers, p.Contents, p.LogAvailability, p.Rates = heartbeat.Versions, heartbeat.Peers, heartbeat.Contents, heartbeat.LogAvailability, heartbeat.Rates
+	p.Departures, p.Upheld = heartbeat.Departures, heartbeat.Upheld
+	p.Digest = n.callbacks.Digest(now, first)
+	n.send(Digests, p, bridges)
 }
 
-// Announce tells the own zone which versions this instance has; a bridge tells the
-// other zones too. It does not wait for the link.
+// Announce sends the versions that this instance has to the own zone; a bridge sends them to the
+// other zones too. It bypasses the outbox.
 func (n *Node) Announce(p Packet) {
 	now := time.Now()
 	n.mu.Lock()
 	n.versions = p.Versions
-	r := n.routesAt(now)
-	to := r.near
-	if r.place < bridges {
-		to = slices.Concat(to, r.far)
+	r := n.currentRoutes(now)
+	to := r.neighbours
+	if r.position < bridgesPerZone {
+		to = slices.Concat(to, r.bridges)
 	}
 	n.mu.Unlock()
-	q := n.stamped()
-	q.Answered = p.Answered
+	q := n.newVersionedPacket()
+	q.LogAvailability = p.LogAvailability
 	n.send(Announcements, q, to)
 }
 
-// packet is the next packet of this instance.
-func (n *Node) packet() *Packet {
+// newPacket returns a packet with the next sequence number.
+func (n *Node) newPacket() *Packet {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.numbered()
+	return n.newPacketLocked()
 }
 
-// numbered is the same; the lock is held.
-func (n *Node) numbered() *Packet {
+// newPacketLocked is newPacket with n.mu held.
+func (n *Node) newPacketLocked() *Packet {
 	n.sequence++
 	return &Packet{Addr: n.cfg.Addr, Zone: n.cfg.Zone, Boot: n.cfg.Boot.UnixMilli(), Leaving: n.leaving, Sequence: n.sequence}
 }
 
-// stamped is a packet with what this instance last told of its versions. One without them
-// would say that it does not read the store.
-func (n *Node) stamped() *Packet {
+// newVersionedPacket returns a new packet with the versions that this instance last sent. A packet
+// without them would report that the instance does not read the store.
+func (n *Node) newVersionedPacket() *Packet {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	p := n.numbered()
+	p := n.newPacketLocked()
 	p.Versions = n.versions
 	return p
 }
 
-// send sends the packet in as many datagrams as its evidence needs.
+// send encodes and sends the packet, split into as many datagrams as its evidence needs.
 func (n *Node) send(k Kind, p *Packet, to []netip.AddrPort) {
 	b, err := encode(p)
 	if err != nil {
 		eventlog.Error(eventlog.PacketRefused, err)
 		return
 	}
-	if len(b) > maxPacket && len(p.Evidence) > 1 {
+	if len(b) > maxPacketBytes && len(p.Evidence) > 1 {
 		half := len(p.Evidence) / 2
-		first, rest := *p, n.packet()
+		first, rest := *p, n.newPacket()
 		rest.Versions = p.Versions
 		first.Evidence, rest.Evidence = p.Evidence[:half], p.Evidence[half:]
 		n.send(k, &first, to)
@@ -282,7 +283,7 @@
 
 func (n *Node) write(k Kind, b []byte, to []netip.AddrPort) {
 	for _, a := range to {
-		// A datagram that cannot be sent is a lost one.
+		// A datagram that cannot be sent counts as lost.
 		_, _ = n.conn.WriteToUDPAddrPort(b, a)
 	}
 	n.mu.Lock()
@@ -292,26 +293,26 @@
 	n.mu.Unlock()
 }
 
-// readBuffer holds the largest datagram that UDP carries.
-const readBuffer = 64 << 10
+// readBufferBytes is the size of the largest UDP datagram.
+const readBufferBytes = 64 << 10
 
 func (n *Node) receive() {
-	buf := make([]byte, readBuffer)
+	buf := make([]byte, readBufferBytes)
 	for {
 		size, _, err := n.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			// As when an earlier datagram met a closed port.
+			// For example, an earlier datagram was sent to a closed port.
 			continue
 		}
-		n.Take(buf[:size])
+		n.HandleDatagram(buf[:size])
 	}
 }
 
-// Take takes in a datagram.
-func (n *Node) Take(b []byte) {
+// HandleDatagram decodes and handles a datagram.
+func (n *Node) HandleDatagram(b []byte) {
 	p, err := decode(b)
 	if err != nil {
 		n.mu.Lock()
@@ -324,52 +325,52 @@
 	n.mu.Lock()
 	n.meter.received(len(b))
 	n.mu.Unlock()
-	n.takePacket(now, p)
-	for _, q := range p.Passed {
+	n.handlePacket(now, p)
+	for _, q := range p.RelayedPackets {
 		q.Relayed = true
-		n.takePacket(now, q)
+		n.handlePacket(now, q)
 	}
 }
 
-func (n *Node) takePacket(now time.Time, p *Packet) {
+func (n *Node) handlePacket(now time.Time, p *Packet) {
 	n.mu.Lock()
 	if p.Relayed {
-		n.outbox.passedOn(p)
+		n.outbox.dropRelay(p)
 	}
-	m, s := n.members.heard(now, p)
-	if s == heardFirst || s == heardAgain || p.Leaving {
-		n.changed()
+	m, result := n.members.receive(now, p)
+	if result == memberNew || result == memberReturned || p.Leaving {
+		n.invalidate()
 	}
-	if n.members.moved {
-		n.members.moved = false
+	if n.members.versionsChanged {
+		n.members.versionsChanged = false
 		n.view.At = time.Time{}
 	}
-	for _, k := range p.Known {
-		n.members.add(now, k.Addr, k.Zone)
+	for _, peer := range p.Peers {
+		n.members.add(now, peer.Addr, peer.Zone)
 	}
 	n.mu.Unlock()
-	if s == ignored {
+	if result == packetIgnored {
 		return
 	}
 	n.relay(now, p)
-	if s == heardFirst {
+	if result == memberNew {
 		n.greet(now, m.addr)
 	}
-	if s != heardBefore {
-		eventlog.Info(eventlog.PeerFound, "peer", m.Addr, "zone", p.Zone, "boot", p.Boot, "again", s == heardAgain)
+	if result != memberKnown {
+		eventlog.Info(eventlog.PeerFound, "peer", m.Addr, "zone", p.Zone, "boot", p.Boot, "again", result == memberReturned)
 	}
-	n.calls.Take(now, p)
+	n.callbacks.Handle(now, p)
 }
 
-// greet answers an instance that is heard for the first time at once, with names of
-// others, so that a fleet that starts finds itself within a heartbeat or two, and with
-// what this instance believes.
+// greet replies to the first datagram of an instance at once, with addresses of others, so that the
+// instances of a starting fleet discover each other within one or two heartbeats, and with this
+// instance's health estimates.
 func (n *Node) greet(now time.Time, to netip.AddrPort) {
-	p := n.stamped()
+	p := n.newVersionedPacket()
 	n.mu.Lock()
-	p.Known = n.members.sample(now)
+	p.Peers = n.members.samplePeers(now)
 	n.mu.Unlock()
-	n.calls.Greet(now, p)
+	n.callbacks.FillGreeting(now, p)
 	n.send(Greetings, p, []netip.AddrPort{to})
 }
 
@@ -377,10 +378,10 @@
 	n.mu.Lock()
 	lost := n.members.expire(time.Now())
 	if len(lost) > 0 {
-		n.changed()
+		n.invalidate()
 	}
 	n.mu.Unlock()
 	for _, addr := range lost {
-		eventlog.Info(eventlog.PeerLost, "peer", addr, "silent_ms", silentAfter.Milliseconds())
+		eventlog.Info(eventlog.PeerLost, "peer", addr, "silent_ms", silentTimeout.Milliseconds())
 	}
 }
--- a/mesh/outbox.go
+++ b/mesh/outbox.go
@@ -9,263 +9,261 @@
 )
 
 const (
-	// DefaultLinkBytes is taken for what an instance's link carries where nobody says,
-	// in bytes a second: 10 Mbit/s, the smallest links of the deployments.
+	// DefaultLinkBytes is the default capacity of an instance's link in bytes per second: 10
+	// Mbit/s, the smallest links of the deployments.
 	DefaultLinkBytes = 1_250_000
-	// newsShare is the part of the link that datagrams to other instances may take;
-	// news waits once they do. The rest is for callers and targets, whose bodies take
-	// up to half of a small link at twice the usual load, and for changes of the
-	// configuration, which would wait behind news without a bound. The digests that a bridge
-	// passes on take half of this share at most, since they alternate with news.
-	newsShare = 0.4
-	// newsBurst is for how long a time's share may be sent ahead, so that a few
-	// pieces of news leave at once. It holds up other packets for newsShare of it at most.
-	newsBurst = 100 * time.Millisecond
-	// gatherFor is how long a bridge gathers what it passes on, so that one datagram holds
-	// it. The news of a failed attempt is that much later, in which hardly a request meets its
-	// target; datagrams stay under 1/gatherFor a second for each neighbour, however many
-	// attempts fail.
-	gatherFor = 20 * time.Millisecond
-	// secondAfter is how long other bridges keep it, to pass on what the first one did not:
-	// time for the first to gather, to wait for its link a little, and to send. They gather
-	// too, from gatherFor earlier.
-	secondAfter = 100 * time.Millisecond
-	// headerBytes are those that IP and UDP add to a datagram.
-	headerBytes = 28
+	// updateShare is the share of the link that datagrams to other instances may use; beyond it,
+	// updates wait. The rest is for callers and targets, whose bodies take up to half of a small
+	// link at twice the usual load, and for changes of the configuration, which would otherwise be
+	// queued behind updates for an unbounded time. The digests that a bridge relays take at most
+	// half of this share, since they alternate with other updates.
+	updateShare = 0.4
+	// updateBurst is the time whose share may be used in advance, so that a few updates can be sent
+	// at once. It delays other packets by at most updateShare of that time.
+	updateBurst = 100 * time.Millisecond
+	// batchDelay is the time for which a bridge batches packets before it relays them in one
+	// datagram. The report of a failed attempt is delayed by as much, during which few requests
+	// reach the same target; and each neighbour gets fewer than 1/batchDelay datagrams per second,
+	// however many attempts fail.
+	batchDelay = 20 * time.Millisecond
+	// standbyRelayDelay is the time for which the other bridges hold packets, to relay those that
+	// the first one did not: enough for the first bridge to batch, wait for its link and send. They
+	// batch too: packets that are due within batchDelay are sent together.
+	standbyRelayDelay = 100 * time.Millisecond
+	// ipUDPHeaderBytes is the size of the IP and UDP headers of a datagram.
+	ipUDPHeaderBytes = 28
 )
 
-// Bounds of the news that waits: each is about as much as goes to 44 neighbours over a small
-// link within 1 s. What is older when more comes is dropped, since it says less of the
-// present.
+// Limits of the queues, each about as much as can be sent to 44 neighbours over a small link within
+// 1 s. When a queue is full, the oldest entries are dropped, since they are the least current; of
+// the loads the new one, which the next heartbeat carries.
 const (
-	waitingEvidence = 256
-	waitingLoads    = 128
-	waitingContents = 64
-	waitingPassed   = 128
+	maxQueuedEvidence = 256
+	maxQueuedLoads    = 128
+	maxQueuedContents = 64
+	maxQueuedRelays   = 128
 )
 
-// Sizes by which news is put into datagrams, in bytes, as they are encoded with names of
-// about 12 characters.
+// Sizes in bytes, by which updates are divided into datagrams. They are for names of about 12
+// characters, as encoded.
 const (
-	roomBytes     = 1250 // of maxPacket, without the sender's part
-	evidenceBytes = 42
-	loadBytes     = 18
-	contentBytes  = 32 // without its losses
-	lossBytes     = 32
-	passedBytes   = 50 // without its evidence
+	maxUpdateBytes     = 1250 // maxPacketBytes less the fields that describe the sender
+	evidenceBytes      = 42
+	loadBytes          = 18
+	contentBytes       = 32 // without its losses
+	lossBytes          = 32
+	relayedPacketBytes = 50 // without its evidence
 )
 
-// outbox holds back news for as long as what was sent before has taken up the
-// datagrams' part of the link, and puts what has gathered by then into one datagram: the
-// fuller the link, the fewer the datagrams. Heartbeats and announcements do not wait, but
-// are counted.
+// outbox queues updates while earlier datagrams use up their share of the link, and combines queued
+// updates into one datagram: the higher the utilization, the fewer the datagrams. Heartbeats and
+// announcements are not queued, but count toward the share.
 type outbox struct {
 	bytesPerSecond float64
-	// freeAt is when what was sent has used up no more than its part.
+	// freeAt is when the datagrams sent so far are within the share.
 	freeAt time.Time
-	// armedFor is when news will be sent later.
-	armedFor time.Time
+	// flushAt is when the next flush is scheduled.
+	flushAt time.Time
 
-	evidence []waitingItem[Evidence]
-	contents []waitingItem[ContentEvidence]
-	load     map[fleet.TargetID]int
-	// passed and digests are other zones' packets that go on to the own one; of the
-	// digests of one zone only the latest counts.
-	passed  []waitingItem[*Packet]
-	digests []waitingItem[*Packet]
+	evidence []queuedItem[Evidence]
+	contents []queuedItem[ContentEvidence]
+	loads    map[fleet.TargetID]int
+	// relays and digests are packets of other zones to be relayed to the own zone; only the latest
+	// digest of each zone is kept.
+	relays  []queuedItem[*Packet]
+	digests []queuedItem[*Packet]
 	dropped int64
 }
 
-// waitingItem is a piece of news, since when it waits, and before when it is not sent.
-type waitingItem[T any] struct {
-	what      T
-	since     time.Time
-	notBefore time.Time
+// queuedItem is an update, when it was queued, and the time before which it is not sent.
+type queuedItem[T any] struct {
+	value     T
+	queuedAt  time.Time
+	sendAfter time.Time
 }
 
-func (i *waitingItem[T]) ripe(now time.Time) bool { return !now.Before(i.notBefore) }
+func (i *queuedItem[T]) due(now time.Time) bool { return !now.Before(i.sendAfter) }
 
 func newOutbox(linkBytes int64) *outbox {
 	if linkBytes <= 0 {
 		linkBytes = DefaultLinkBytes
 	}
 	return &outbox{
-		bytesPerSecond: newsShare * float64(linkBytes),
-		load:           make(map[fleet.TargetID]int),
+		bytesPerSecond: updateShare * float64(linkBytes),
+		loads:          make(map[fleet.TargetID]int),
 	}
 }
 
-// charge counts a datagram that goes to a number of instances.
+// charge counts a datagram of the given size that goes to the given number of instances.
 func (o *outbox) charge(now time.Time, to, size int) {
 	if o.freeAt.Before(now) {
 		o.freeAt = now
 	}
-	o.freeAt = o.freeAt.Add(time.Duration(float64(to*(size+headerBytes)) / o.bytesPerSecond * float64(time.Second)))
+	o.freeAt = o.freeAt.Add(time.Duration(float64(to*(size+ipUDPHeaderBytes)) / o.bytesPerSecond * float64(time.Second)))
 }
 
-// wait is how long news must wait.
-func (o *outbox) wait(now time.Time) time.Duration {
+// linkDelay returns how long updates have to wait for the link.
+func (o *outbox) linkDelay(now time.Time) time.Duration {
 	if !o.freeAt.After(now) {
 		return 0
 	}
-	return max(o.freeAt.Sub(now)-newsBurst, 0)
+	return max(o.freeAt.Sub(now)-updateBurst, 0)
 }
 
-// add takes in news of this instance.
-func (o *outbox) add(now time.Time, p *Packet) {
+// addOwn queues updates of this instance.
+func (o *outbox) addOwn(now time.Time, p *Packet) {
 	for _, e := range p.Evidence {
-		o.evidence = keepLast(o, append(o.evidence, waitingItem[Evidence]{what: e, since: now}), waitingEvidence)
+		o.evidence = keepNewest(o, append(o.evidence, queuedItem[Evidence]{value: e, queuedAt: now}), maxQueuedEvidence)
 	}
 	for _, c := range p.Contents {
-		o.contents = keepLast(o, append(o.contents, waitingItem[ContentEvidence]{what: c, since: now}), waitingContents)
+		o.contents = keepNewest(o, append(o.contents, queuedItem[ContentEvidence]{value: c, queuedAt: now}), maxQueuedContents)
 	}
 	for _, l := range p.Load {
-		if _, known := o.load[l.Target]; !known && len(o.load) >= waitingLoads {
-			o.dropped++ // the next heartbeat tells it
+		if _, queued := o.loads[l.Target]; !queued && len(o.loads) >= maxQueuedLoads {
+			o.dropped++ // the next heartbeat carries it
 			continue
 		}
-		o.load[l.Target] = l.InFlight
+		o.loads[l.Target] = l.InFlight
 	}
 }
 
-// gathers is how long until anything is to be sent, apart from what the link has to carry
-// first.
-func (o *outbox) gathers(now time.Time) time.Duration {
-	if o.own() {
+// batchWait returns how long until any update is due, regardless of the link.
+func (o *outbox) batchWait(now time.Time) time.Duration {
+	if o.hasOwnUpdates() {
 		return 0
 	}
 	left := time.Duration(math.MaxInt64)
-	for _, items := range [][]waitingItem[*Packet]{o.passed, o.digests} {
+	for _, items := range [][]queuedItem[*Packet]{o.relays, o.digests} {
 		if len(items) > 0 {
-			left = min(left, items[0].notBefore.Sub(now))
+			left = min(left, items[0].sendAfter.Sub(now))
 		}
 	}
 	return max(left, 0)
 }
 
-// pass takes in a packet of another zone, to be passed on after the given time.
-func (o *outbox) pass(now time.Time, p *Packet, after time.Duration) {
-	item := waitingItem[*Packet]{p, now, now.Add(after)}
+// addRelay queues a packet of another zone, to be relayed after the given delay.
+func (o *outbox) addRelay(now time.Time, p *Packet, delay time.Duration) {
+	item := queuedItem[*Packet]{p, now, now.Add(delay)}
 	if p.Digest == nil {
-		o.passed = keepLast(o, append(o.passed, item), waitingPassed)
+		o.relays = keepNewest(o, append(o.relays, item), maxQueuedRelays)
 		return
 	}
 	for i := range o.digests {
-		if o.digests[i].what.Zone == p.Zone {
+		if o.digests[i].value.Zone == p.Zone {
 			o.dropped++
-			o.digests[i] = waitingItem[*Packet]{p, now, o.digests[i].notBefore}
+			o.digests[i] = queuedItem[*Packet]{p, now, o.digests[i].sendAfter}
 			return
 		}
 	}
 	o.digests = append(o.digests, item)
 }
 
-// passedOn drops a packet that another bridge has passed on.
-func (o *outbox) passedOn(p *Packet) {
-	same := func(i waitingItem[*Packet]) bool {
-		return i.what.Sequence == p.Sequence && i.what.Addr == p.Addr && i.what.Boot == p.Boot
+// dropRelay removes a packet that another bridge has relayed.
+func (o *outbox) dropRelay(p *Packet) {
+	same := func(i queuedItem[*Packet]) bool {
+		return i.value.Sequence == p.Sequence && i.value.Addr == p.Addr && i.value.Boot == p.Boot
 	}
-	o.passed = slices.DeleteFunc(o.passed, same)
+	o.relays = slices.DeleteFunc(o.relays, same)
 	o.digests = slices.DeleteFunc(o.digests, same)
 }
 
-// keepLast drops what is oldest of more than the given number.
-func keepLast[T any](o *outbox, items []waitingItem[T], most int) []waitingItem[T] {
-	over := len(items) - most
-	if over <= 0 {
+// keepNewest drops the oldest items beyond the limit.
+func keepNewest[T any](o *outbox, items []queuedItem[T], limit int) []queuedItem[T] {
+	excess := len(items) - limit
+	if excess <= 0 {
 		return items
 	}
-	o.dropped += int64(over)
-	return items[over:]
+	o.dropped += int64(excess)
+	return items[excess:]
 }
 
-// superseded drops what the heartbeat that is about to be filled tells.
-func (o *outbox) superseded() {
-	clear(o.load)
+// dropLoads removes the queued loads, which the heartbeat about to be filled carries too.
+func (o *outbox) dropLoads() {
+	clear(o.loads)
 }
 
 func (o *outbox) empty() bool {
-	return !o.news() && len(o.digests) == 0
+	return !o.hasUpdates() && len(o.digests) == 0
 }
 
-// news tells whether anything but digests waits.
-func (o *outbox) news() bool { return o.own() || len(o.passed) > 0 }
+// hasUpdates reports whether anything other than digests is queued.
+func (o *outbox) hasUpdates() bool { return o.hasOwnUpdates() || len(o.relays) > 0 }
 
-// own tells whether news of this instance waits.
-func (o *outbox) own() bool { return len(o.evidence)+len(o.load)+len(o.contents) > 0 }
+// hasOwnUpdates reports whether updates of this instance are queued.
+func (o *outbox) hasOwnUpdates() bool { return len(o.evidence)+len(o.loads)+len(o.contents) > 0 }
 
-// next takes out what fits into one datagram of news, and a digest if one waits. Either
-// may be nil.
-func (o *outbox) next(now time.Time) (news, digest *Packet) {
-	if o.own() || len(o.passed) > 0 && o.passed[0].ripe(now) {
-		news = o.fill(now)
+// next removes and returns what fits into one datagram of updates, and a digest if one is due.
+// Either may be nil.
+func (o *outbox) next(now time.Time) (update, digest *Packet) {
+	if o.hasOwnUpdates() || len(o.relays) > 0 && o.relays[0].due(now) {
+		update = o.fillPacket(now)
 	}
-	if len(o.digests) > 0 && o.digests[0].ripe(now) {
-		digest = aged(o.digests[0].what, now.Sub(o.digests[0].since))
+	if len(o.digests) > 0 && o.digests[0].due(now) {
+		digest = agedPacket(o.digests[0].value, now.Sub(o.digests[0].queuedAt))
 		o.digests = o.digests[1:]
 	}
-	return news, digest
+	return update, digest
 }
 
-// fill puts as much news into a packet as a datagram takes.
-func (o *outbox) fill(now time.Time) *Packet {
-	p, room := new(Packet), roomBytes
+// fillPacket moves as many updates into a packet as fit into a datagram.
+func (o *outbox) fillPacket(now time.Time) *Packet {
+	p, remaining := new(Packet), maxUpdateBytes
 	n := 0
-	for ; n < len(o.contents) && room >= min(o.contents[n].what.bytes(), roomBytes); n++ {
+	for ; n < len(o.contents) && remaining >= min(o.contents[n].value.bytes(), maxUpdateBytes); n++ {
 		c := o.contents[n]
-		p.Contents = append(p.Contents, olderContent(c.what, now.Sub(c.since)))
-		room -= c.what.bytes()
+		p.Contents = append(p.Contents, agedContent(c.value, now.Sub(c.queuedAt)))
+		remaining -= c.value.bytes()
 	}
 	o.contents = o.contents[n:]
-	for n = 0; n < len(o.evidence) && room >= evidenceBytes; n++ {
+	for n = 0; n < len(o.evidence) && remaining >= evidenceBytes; n++ {
 		e := o.evidence[n]
-		p.Evidence = append(p.Evidence, older(e.what, now.Sub(e.since)))
-		room -= evidenceBytes
+		p.Evidence = append(p.Evidence, agedEvidence(e.value, now.Sub(e.queuedAt)))
+		remaining -= evidenceBytes
 	}
 	o.evidence = o.evidence[n:]
-	for id, inFlight := range o.load {
-		if room < loadBytes {
+	for id, inFlight := range o.loads {
+		if remaining < loadBytes {
 			break
 		}
 		p.Load = append(p.Load, Load{Target: id, InFlight: inFlight})
-		delete(o.load, id)
-		room -= loadBytes
+		delete(o.loads, id)
+		remaining -= loadBytes
 	}
-	for n = 0; n < len(o.passed) && o.passed[n].ripe(now.Add(gatherFor)); n++ {
-		q := &o.passed[n]
-		size := passedBytes + evidenceBytes*len(q.what.Evidence)
-		for _, c := range q.what.Contents {
+	for n = 0; n < len(o.relays) && o.relays[n].due(now.Add(batchDelay)); n++ {
+		q := &o.relays[n]
+		size := relayedPacketBytes + evidenceBytes*len(q.value.Evidence)
+		for _, c := range q.value.Contents {
 			size += c.bytes()
 		}
-		if room < min(size, roomBytes) {
+		if remaining < min(size, maxUpdateBytes) {
 			break
 		}
-		p.Passed = append(p.Passed, aged(q.what, now.Sub(q.since)))
-		room -= size
+		p.RelayedPackets = append(p.RelayedPackets, agedPacket(q.value, now.Sub(q.queuedAt)))
+		remaining -= size
 	}
-	o.passed = o.passed[n:]
+	o.relays = o.relays[n:]
 	return p
 }
 
-// aged returns a copy of a packet that has waited for the given time.
-func aged(p *Packet, waited time.Duration) *Packet {
+// agedPacket returns a copy of a packet after the given delay, with its ages increased.
+func agedPacket(p *Packet, delay time.Duration) *Packet {
 	q := *p
 	q.Evidence = make([]Evidence, len(p.Evidence))
 	for i, e := range p.Evidence {
-		q.Evidence[i] = older(e, waited)
+		q.Evidence[i] = agedEvidence(e, delay)
 	}
 	q.Contents = make([]ContentEvidence, len(p.Contents))
 	for i, c := range p.Contents {
-		q.Contents[i] = olderContent(c, waited)
+		q.Contents[i] = agedContent(c, delay)
 	}
-	q.Answered = p.Answered.older(waited)
+	q.LogAvailability = p.LogAvailability.aged(delay)
 	q.Rates = slices.Clone(p.Rates)
 	for i := range q.Rates {
-		q.Rates[i].AgeMillis += waited.Milliseconds()
+		q.Rates[i].AgeMillis += delay.Milliseconds()
 	}
 	q.Departures = slices.Clone(p.Departures)
 	for i := range q.Departures {
-		q.Departures[i].AgeMillis += waited.Milliseconds()
+		q.Departures[i].AgeMillis += delay.Milliseconds()
 	}
 	if p.Digest == nil {
 		return &q
@@ -273,26 +271,26 @@
 	d := *p.Digest
 	d.Successes = make([]Successes, len(p.Digest.Successes))
 	for i, s := range p.Digest.Successes {
-		s.AgeMillis += waited.Milliseconds()
+		s.AgeMillis += delay.Milliseconds()
 		d.Successes[i] = s
 	}
 	q.Digest = &d
 	return &q
 }
 
-func older(e Evidence, waited time.Duration) Evidence {
-	e.AgeMillis += waited.Milliseconds()
+func agedEvidence(e Evidence, delay time.Duration) Evidence {
+	e.AgeMillis += delay.Milliseconds()
 	return e
 }
 
-// bytes is about how much of a datagram the content takes.
+// bytes returns the approximate encoded size of the content.
 func (c *ContentEvidence) bytes() int { return contentBytes + lossBytes*len(c.Losses) }
 
-func olderContent(c ContentEvidence, waited time.Duration) ContentEvidence {
-	c.ServedMillis += waited.Milliseconds()
+func agedContent(c ContentEvidence, delay time.Duration) ContentEvidence {
+	c.ServedAgeMillis += delay.Milliseconds()
 	losses := make([]ContentLoss, len(c.Losses))
 	for i, l := range c.Losses {
-		l.EndedMillis += waited.Milliseconds()
+		l.EndAgeMillis += delay.Milliseconds()
 		losses[i] = l
 	}
 	c.Losses = losses
--- a/mesh/packet.go
+++ b/mesh/packet.go
@@ -13,63 +13,63 @@
 	"github.com/clementinereel/clementinereel/suspicion"
 )
 
-// Packet is one datagram.
+// Packet is the content of a datagram.
 type Packet struct {
-	// Addr is where the sender is reached; it also names the sender.
+	// Addr is the address at which the sender is reached. It also identifies the sender.
 	Addr string `cbor:"1,keyasint"`
 	// Zone is the sender's availability zone.
 	Zone fleet.Zone `cbor:"2,keyasint"`
-	// Boot is when the sender's process started, in milliseconds since the Unix
-	// epoch. A higher one is a later process at the address.
+	// Boot is the start time of the sender's process, in milliseconds since the Unix epoch. A
+	// higher value is a later process at the same address.
 	Boot int64 `cbor:"3,keyasint"`
-	// Leaving tells that the sender is stopping.
+	// Leaving is set while the sender is stopping.
 	Leaving bool `cbor:"4,keyasint,omitempty"`
-	// Sequence numbers the sender's packets, so that one that comes twice is
-	// taken once.
+	// Sequence numbers the sender's packets, so that duplicates are ignored.
 	Sequence uint64 `cbor:"13,keyasint"`
-	// Relayed tells that the packet came through an instance of the receiver's
-	// zone.
+	// Relayed is set if the packet came through an instance of the receiver's zone.
 	Relayed bool `cbor:"14,keyasint,omitempty"`
-	// Digest sums up the sender's zone.
+	// Digest summarizes the sender's zone.
 	Digest *Digest `cbor:"15,keyasint,omitempty"`
 	Versions
-	// Heartbeat tells that Load is complete.
+	// Heartbeat is set if Load is complete.
 	Heartbeat bool `cbor:"8,keyasint,omitempty"`
-	// Known are some instances that the sender heard.
-	Known []Known `cbor:"9,keyasint,omitempty"`
-	// Load is what the sender has in flight.
+	// Peers are some of the instances from which the sender receives datagrams.
+	Peers []Peer `cbor:"9,keyasint,omitempty"`
+	// Load is the number of requests that the sender has in flight, by target.
 	Load []Load `cbor:"10,keyasint,omitempty"`
-	// Evidence is what attempts said of targets.
+	// Evidence holds the observations of targets that attempts yielded.
 	Evidence []Evidence `cbor:"12,keyasint,omitempty"`
-	// Beliefs are what the sender believes of targets, for an instance that it hears
-	// for the first time.
-	Beliefs []Belief `cbor:"16,keyasint,omitempty"`
-	// Passed are packets of other zones that the sender passes on together.
-	Passed []*Packet `cbor:"17,keyasint,omitempty"`
-	// Asks are for loans out of retry budgets, Loans what the sender lends.
-	Asks  []Loan `cbor:"18,keyasint,omitempty"`
-	Loans []Loan `cbor:"19,keyasint,omitempty"`
-	// Instances is how many instances the sender counts by what it heard itself; 0 if it
-	// may know only some of them.
+	// Estimates are the sender's health estimates of targets, sent to an instance from which it
+	// receives a datagram for the first time.
+	Estimates []Estimate `cbor:"16,keyasint,omitempty"`
+	// RelayedPackets are packets of other zones that the sender relays together.
+	RelayedPackets []*Packet `cbor:"17,keyasint,omitempty"`
+	// LoanRequests ask for loans out of retry budgets; Loans are those that the sender grants.
+	LoanRequests []Loan `cbor:"18,keyasint,omitempty"`
+	Loans        []Loan `cbor:"19,keyasint,omitempty"`
+	// Instances is the number of instances according to the datagrams that the sender received
+	// itself; 0 if it may have discovered only some of them.
 	Instances int `cbor:"20,keyasint,omitempty"`
-	// Contents is what attempts said of contents of requests. Earlier versions pass them over.
+	// Contents holds the observations of request contents that attempts yielded. Earlier versions
+	// ignore them.
 	Contents []ContentEvidence `cbor:"22,keyasint,omitempty"`
-	// Answered is when the store's log last answered somebody without a break, as far as the
-	// sender knows. Heartbeats, announcements and digests carry it. Earlier versions pass it over.
-	Answered *Answered `cbor:"23,keyasint,omitempty"`
-	// Rates are those that targets name, TokenAsks ask the holders of some for requests, and Tokens
-	// answer. Earlier versions pass them over.
-	Rates     []TargetRate `cbor:"24,keyasint,omitempty"`
-	TokenAsks []TokenAsk   `cbor:"25,keyasint,omitempty"`
-	Tokens    []Token      `cbor:"26,keyasint,omitempty"`
-	// Departures are processes of targets that said in answers that they leave. Earlier versions pass
-	// them over.
+	// LogAvailability is the latest span in which the store's log responded to any instance without
+	// interruption, to the sender's knowledge. Heartbeats, announcements and digests carry it.
+	// Earlier versions ignore it.
+	LogAvailability *AgeSpan `cbor:"23,keyasint,omitempty"`
+	// Rates are the rates that targets declare, TokenRequests ask the holders of rates for
+	// requests, and TokenResponses are the replies. Earlier versions ignore them.
+	Rates          []TargetRate    `cbor:"24,keyasint,omitempty"`
+	TokenRequests  []TokenRequest  `cbor:"25,keyasint,omitempty"`
+	TokenResponses []TokenResponse `cbor:"26,keyasint,omitempty"`
+	// Departures are processes of targets that announced in responses that they are leaving.
+	// Earlier versions ignore them.
 	Departures []registry.Departure `cbor:"27,keyasint,omitempty"`
-	// Backoffs are targets that turned the sender away, and from which it backs off for a time. Earlier
-	// versions pass them over.
+	// Backoffs are targets that rejected the sender's requests and from which it backs off for a
+	// time. Earlier versions ignore them.
 	Backoffs []TargetBackoff `cbor:"28,keyasint,omitempty"`
-	// Upheld are those of Contents whose quarantine had settled at instances that are gone. Earlier
-	// versions pass them over.
+	// Upheld lists those of Contents whose quarantine had settled at instances that no longer
+	// exist. Earlier versions ignore it.
 	Upheld []quarantine.Fingerprint `cbor:"29,keyasint,omitempty"`
 }
 
@@ -77,201 +77,207 @@
 type TargetBackoff struct {
 	_      struct{} `cbor:",toarray"`
 	Target fleet.TargetID
-	// ForMillis is for how long, from the datagram on.
-	ForMillis int64
+	// RemainingMillis is the time for which the sender still backs off when it sends the datagram.
+	RemainingMillis int64
 }
 
-// TargetRate is the rate that a target names, or that it names none any more.
+// TargetRate is the rate limit that a target declares, or the end of one.
 type TargetRate struct {
 	_      struct{} `cbor:",toarray"`
 	Target fleet.TargetID
-	// Permille is in thousandths of a request a second; 0 if the rate has ended.
+	// Permille is the rate in thousandths of a request per second; 0 if the target declares none
+	// any more.
 	Permille int64
-	// AgeMillis is how long before the datagram the answer came that named it, or the attempt
-	// began whose answer named none.
+	// AgeMillis is the time from the response that declared the rate to the datagram or, if the
+	// rate has ended, from the start of the attempt whose response declared none.
 	AgeMillis int64
-	// Holder is the instance of the sender's zone that holds the rate; empty if another zone's does.
+	// Holder is the instance of the sender's zone that holds the rate; empty if an instance of
+	// another zone holds it.
 	Holder string
 }
 
-// TokenAsk asks the holder of a target's rate for one request.
-type TokenAsk struct {
+// TokenRequest asks the holder of a target's rate for permission to send one request.
+type TokenRequest struct {
 	_ struct{} `cbor:",toarray"`
-	// Number is the asker's own; the answer repeats it.
+	// Number identifies the request at the requester; the response repeats it.
 	Number uint64
 	Rate   TargetRate
-	// Urgent requests leave nothing to others.
+	// Urgent is set for a request that may use the last tokens instead of leaving them to others.
 	Urgent bool
 }
 
-// Token answers a TokenAsk.
-type Token struct {
+// TokenResponse is the reply to a TokenRequest.
+type TokenResponse struct {
 	_       struct{} `cbor:",toarray"`
 	Number  uint64
 	Granted bool
-	// WaitMillis is after which time there may be one, if none is granted.
+	// WaitMillis is the time after which a token may be available, if none is granted.
 	WaitMillis int64
 }
 
-// Answered is a time in which the store's log answered without a break, as ages.
-type Answered struct {
+// AgeSpan is a span in which the store's log responded without interruption, expressed as ages at
+// the time of the datagram.
+type AgeSpan struct {
 	_                       struct{} `cbor:",toarray"`
 	FromMillis, UntilMillis int64
 }
 
-// AnsweredAt tells a span by its ages; nil if there is none.
-func AnsweredAt(now time.Time, s registry.Span) *Answered {
+// NewAgeSpan converts a span to ages at the given time. It returns nil for the zero span.
+func NewAgeSpan(now time.Time, s registry.Span) *AgeSpan {
 	if s.IsZero() {
 		return nil
 	}
-	return &Answered{FromMillis: now.Sub(s.From).Milliseconds(), UntilMillis: now.Sub(s.Until).Milliseconds()}
+	return &AgeSpan{FromMillis: now.Sub(s.From).Milliseconds(), UntilMillis: now.Sub(s.Until).Milliseconds()}
 }
 
-// oldestAge bounds ages in packets, in milliseconds: what is older says nothing, and may not be an age.
-const oldestAge = int64(24 * time.Hour / time.Millisecond)
+// maxAgeMillis bounds the ages in packets. Older information has no value, and larger numbers may
+// not be ages at all.
+const maxAgeMillis = int64(24 * time.Hour / time.Millisecond)
 
-// Span is the time that is meant, by a packet that has just arrived; zero if it is none.
-func (a *Answered) Span(now time.Time) registry.Span {
-	if a == nil || a.UntilMillis < 0 || a.FromMillis < a.UntilMillis || a.UntilMillis > oldestAge {
+// Span converts the ages of a packet that has just arrived to times. It returns the zero span if a
+// is nil or invalid.
+func (a *AgeSpan) Span(now time.Time) registry.Span {
+	if a == nil || a.UntilMillis < 0 || a.FromMillis < a.UntilMillis || a.UntilMillis > maxAgeMillis {
 		return registry.Span{}
 	}
-	from := min(a.FromMillis, oldestAge)
+	from := min(a.FromMillis, maxAgeMillis)
 	return registry.Span{
 		From:  now.Add(-time.Duration(from) * time.Millisecond),
 		Until: now.Add(-time.Duration(a.UntilMillis) * time.Millisecond),
 	}
 }
 
-// older is the same, told after a wait.
-func (a *Answered) older(waited time.Duration) *Answered {
+// aged returns the span after a delay before sending.
+func (a *AgeSpan) aged(delay time.Duration) *AgeSpan {
 	if a == nil {
 		return nil
 	}
-	return &Answered{FromMillis: a.FromMillis + waited.Milliseconds(), UntilMillis: a.UntilMillis + waited.Milliseconds()}
+	return &AgeSpan{FromMillis: a.FromMillis + delay.Milliseconds(), UntilMillis: a.UntilMillis + delay.Milliseconds()}
 }
 
-// Versions are what an instance tells of its state. Packets to other zones may carry none.
+// Versions describes the state of an instance. Packets to other zones may carry none.
 type Versions struct {
 	Document document.Version `cbor:"5,keyasint,omitempty"`
-	// Registry and Epoch are the position up to which it knows the targets. Instances of
-	// earlier versions tell no epoch.
+	// Registry and Epoch are the position up to which the instance has the targets. Instances of
+	// earlier versions send no epoch.
 	Registry registry.Offset `cbor:"6,keyasint,omitempty"`
 	Epoch    registry.Epoch  `cbor:"21,keyasint,omitempty"`
-	// Log tells what it knows of the store's log.
+	// Log is the state of the store's log as the instance sees it.
 	Log LogState `cbor:"7,keyasint,omitempty"`
 }
 
-// Position is the position up to which the instance knows the targets.
+// Position returns the position up to which the instance has the targets.
 func (v Versions) Position() registry.Position {
 	return registry.Position{Epoch: v.Epoch, Offset: v.Registry}
 }
 
-// Belief is how likely a target is sick.
-type Belief struct {
+// Estimate is the estimated probability that a target is unhealthy.
+type Estimate struct {
 	_       struct{} `cbor:",toarray"`
 	Service document.ServiceName
 	Target  fleet.TargetID
-	// Permille is the probability in thousandths, which take fewer bytes than a
-	// floating-point number.
+	// Permille is the probability in thousandths, which take fewer bytes than a floating-point
+	// number.
 	Permille int
 }
 
-// Known names another instance.
-type Known struct {
+// Peer identifies another instance.
+type Peer struct {
 	_    struct{} `cbor:",toarray"`
 	Addr string
 	Zone fleet.Zone
 }
 
-// Digest is what the instances of one zone do together.
+// Digest summarizes the instances of one zone.
 type Digest struct {
 	_ struct{} `cbor:",toarray"`
-	// Instances is how many there are.
+	// Instances is the number of instances.
 	Instances int
-	// Complete and Usage are for earlier versions, which then keep to their own parts of
-	// the retry budgets.
+	// Complete and Usage are for earlier versions, which then use only their own parts of the retry
+	// budgets.
 	Complete bool
 	Load     []Load
 	Usage    []any
-	// Successes are those that the zone's instances had since the last digest
-	// that carried any. Only one of the bridges sends them.
+	// Successes are those of the zone's instances since the last digest that carried any. Only one
+	// of the bridges sends them.
 	Successes []Successes
 }
 
-// Successes are the good attempts at one target.
+// Successes counts the successful attempts at one target.
 type Successes struct {
 	_       struct{} `cbor:",toarray"`
 	Service document.ServiceName
 	Target  fleet.TargetID
 	Count   int
-	// AgeMillis is how long before the datagram the latest attempt began.
+	// AgeMillis is the time from the start of the latest attempt to the datagram.
 	AgeMillis int64
 }
 
-// LogState is what an instance knows of the store's log.
+// LogState is the state of the store's log as an instance sees it.
 type LogState uint8
 
 const (
-	// LogUnread means that the instance leaves the reading to others.
+	// LogUnread means that the instance leaves reading the log to others.
 	LogUnread LogState = iota
-	// LogAnswers means that the log answered its last call.
-	LogAnswers
-	// LogAway means that the log did not.
-	LogAway
+	// LogAvailable means that the log responded to the instance's last call.
+	LogAvailable
+	// LogUnavailable means that the log did not respond to the instance's last call.
+	LogUnavailable
 )
 
-// Load is how many requests an instance has at a target.
+// Load is the number of requests that an instance has in flight at a target.
 type Load struct {
 	_        struct{} `cbor:",toarray"`
 	Target   fleet.TargetID
 	InFlight int
 }
 
-// Loan is a part of a service's retry budget.
+// Loan is a part of a service's retry budget that one instance lends to another.
 type Loan struct {
 	_       struct{} `cbor:",toarray"`
 	Service document.ServiceName
-	// Permille is in thousandths of an attempt, which take fewer bytes than a
+	// Permille is the amount in thousandths of an attempt, which take fewer bytes than a
 	// floating-point number.
 	Permille int
 }
 
 // Evidence is one observation of a target.
 type Evidence struct {
-	_       struct{} `cbor:",toarray"`
-	Service document.ServiceName
-	Target  fleet.TargetID
-	What    suspicion.Observation
-	// AgeMillis is how long before the datagram the attempt began.
+	_           struct{} `cbor:",toarray"`
+	Service     document.ServiceName
+	Target      fleet.TargetID
+	Observation suspicion.Observation
+	// AgeMillis is the time from the start of the attempt to the datagram.
 	AgeMillis int64
-	// TookMillis is how long a good attempt took, or for how long a connection was
-	// idle that broke at once.
-	TookMillis int64
+	// DurationMillis is the duration of a successful attempt, or the idle time of a connection that
+	// broke as soon as it was used.
+	DurationMillis int64
 }
 
-// ContentEvidence is what is known of a content that may crash its targets.
+// ContentEvidence holds the observations of a request content that may crash targets.
 type ContentEvidence struct {
 	_       struct{} `cbor:",toarray"`
 	Content quarantine.Fingerprint
 	Losses  []ContentLoss
-	// Served tells whether a target served the content, and ServedMillis how long before the
-	// datagram one last did.
-	Served       bool
-	ServedMillis int64
+	// Served is set if a target has served the content, and ServedAgeMillis is the time from the
+	// last such response to the datagram.
+	Served          bool
+	ServedAgeMillis int64
 }
 
-// ContentLoss is an attempt whose answer was lost at a process of a target.
+// ContentLoss is an attempt whose response was lost at a process of a target.
 type ContentLoss struct {
 	_      struct{} `cbor:",toarray"`
 	Target fleet.TargetID
-	// Born is when the process started, in milliseconds since the Unix epoch.
-	Born int64
-	// EndedMillis is how long before the datagram the attempt ended, TookMillis how long it took.
-	EndedMillis, TookMillis int64
+	// ProcessStartMillis is the start time of the process, in milliseconds since the Unix epoch.
+	ProcessStartMillis int64
+	// EndAgeMillis is the time from the end of the attempt to the datagram, and DurationMillis the
+	// duration of the attempt.
+	EndAgeMillis, DurationMillis int64
 }
 
-// maxPacket bounds a datagram, in bytes. Larger ones would be sent in fragments.
-const maxPacket = 1400
+// maxPacketBytes bounds the size of a datagram. Larger ones would be fragmented.
+const maxPacketBytes = 1400
 
 func encode(p *Packet) ([]byte, error) {
 	b, err := cbor.Marshal(p)
@@ -284,11 +290,11 @@
 		return nil, errors.WithStack(err)
 	}
 	if p.Addr == "" {
-		return nil, errors.New("packet without an address")
+		return nil, errors.New("packet has no sender address")
 	}
-	for _, q := range p.Passed {
+	for _, q := range p.RelayedPackets {
 		if q == nil || q.Addr == "" {
-			return nil, errors.New("passed on a packet without an address")
+			return nil, errors.New("relayed packet has no sender address")
 		}
 	}
 	return p, nil
--- a/mesh/rates.go
+++ b/mesh/rates.go
@@ -6,35 +6,36 @@
 	"time"
 )
 
-// TellRates tells the own zone at once of rates that targets name, and the bridges of the other zones
-// too if far is set. It does not wait for the link: rates change seldom.
-func (n *Node) TellRates(rates []TargetRate, far bool) {
-	p := n.stamped()
+// TellRates sends rates that targets declare to the own zone at once and, if otherZones is set, to
+// the bridges of the other zones. It bypasses the outbox, since rates rarely change.
+func (n *Node) TellRates(rates []TargetRate, otherZones bool) {
+	p := n.newVersionedPacket()
 	p.Rates = rates
-	n.send(Rates, p, n.neighbours(far))
+	n.send(Rates, p, n.recipients(otherZones))
 }
 
-// neighbours are the instances of the own zone, with the bridges of the other zones if far is set.
-func (n *Node) neighbours(far bool) []netip.AddrPort {
+// recipients returns the instances of the own zone and, if otherZones is set, the bridges of the
+// other zones.
+func (n *Node) recipients(otherZones bool) []netip.AddrPort {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	r := n.routesAt(time.Now())
-	if !far {
-		return r.near
+	r := n.currentRoutes(time.Now())
+	if !otherZones {
+		return r.neighbours
 	}
-	return slices.Concat(r.near, r.far)
+	return slices.Concat(r.neighbours, r.bridges)
 }
 
-// AskToken asks an instance, by its address, for a request out of a rate that it holds.
-func (n *Node) AskToken(holder string, a TokenAsk) {
-	p := n.stamped()
-	p.TokenAsks = []TokenAsk{a}
+// AskToken asks the holder of a rate, given by its address, for permission to send a request.
+func (n *Node) AskToken(holder string, r TokenRequest) {
+	p := n.newVersionedPacket()
+	p.TokenRequests = []TokenRequest{r}
 	n.sendTo(Rates, holder, p)
 }
 
-// GiveToken answers such an instance.
-func (n *Node) GiveToken(asker string, t Token) {
-	p := n.stamped()
-	p.Tokens = []Token{t}
-	n.sendTo(Rates, asker, p)
+// GiveToken replies to a token request.
+func (n *Node) GiveToken(requester string, t TokenResponse) {
+	p := n.newVersionedPacket()
+	p.TokenResponses = []TokenResponse{t}
+	n.sendTo(Rates, requester, p)
 }
--- a/mesh/routes.go
+++ b/mesh/routes.go
@@ -6,59 +6,62 @@
 )
 
 const (
-	// routesFor is for how long routes are used before they are worked out anew, and viewFor
-	// the same of a view: a member becomes silent, and a bridge is replaced, only after
-	// seconds, and to work them out costs more the larger the fleet.
-	routesFor = 100 * time.Millisecond
-	viewFor   = 50 * time.Millisecond
+	// routesTTL and viewTTL are the times for which routes and views are cached. Members become
+	// silent and bridges are replaced only after seconds, and the cost of recomputing grows with
+	// the fleet.
+	routesTTL = 100 * time.Millisecond
+	viewTTL   = 50 * time.Millisecond
 )
 
-// routes is where this instance's datagrams go to.
+// routes holds the recipients of this instance's datagrams.
 type routes struct {
-	at time.Time
-	// near are the neighbours in the own zone, names what they are known by, in the same
-	// order, and far the bridges of the other zones.
-	near, far []netip.AddrPort
-	names     []string
-	// place is this instance's place in the order of its zone; the first are its bridges.
-	place int
+	computedAt time.Time
+	// neighbours are the instances of the own zone, neighbourAddrs their addresses as strings in
+	// the same order, and bridges the bridges of the other zones.
+	neighbours, bridges []netip.AddrPort
+	neighbourAddrs      []string
+	// position is this instance's position in the order of its zone; the first ones are its
+	// bridges.
+	position int
 }
 
-// concerned are the neighbours for whose addresses concerns is true.
-func (r *routes) concerned(concerns func(addr string) bool) []netip.AddrPort {
+// matching returns the neighbours whose address satisfies match.
+func (r *routes) matching(match func(addr string) bool) []netip.AddrPort {
 	var to []netip.AddrPort
-	for i, name := range r.names {
-		if concerns(name) {
-			to = append(to, r.near[i])
+	for i, addr := range r.neighbourAddrs {
+		if match(addr) {
+			to = append(to, r.neighbours[i])
 		}
 	}
 	return to
 }
 
-// routesAt returns the routes of this moment, which must not be changed; the lock is held.
-func (n *Node) routesAt(now time.Time) *routes {
-	if now.Sub(n.routes.at) >= routesFor {
-		n.routes = routes{at: now, far: n.members.bridges(now), place: n.members.place(now)}
-		n.routes.names, n.routes.near = n.members.neighbours(now)
+// currentRoutes returns the routes at the given time, which must not be modified. n.mu must be
+// held.
+func (n *Node) currentRoutes(now time.Time) *routes {
+	if now.Sub(n.routes.computedAt) >= routesTTL {
+		n.routes = routes{computedAt: now, bridges: n.members.bridges(now), position: n.members.position(now)}
+		n.routes.neighbourAddrs, n.routes.neighbours = n.members.neighbours(now)
 	}
 	return &n.routes
 }
 
-// changed drops what was worked out from the table of members; the lock is held.
-func (n *Node) changed() {
-	n.routes.at = time.Time{}
+// invalidate drops what is cached from the member table. n.mu must be held.
+func (n *Node) invalidate() {
+	n.routes.computedAt = time.Time{}
 	n.view.At = time.Time{}
 }
 
-// View returns the other instances. It is shared, and must not be changed. What a member told
-// of its versions is in it at once, for who is told of a newer one looks here where to get it.
+// View returns a snapshot of the other instances. It is shared and must not be modified. Versions
+// that a member sends are included at once, because an instance that receives a newer version looks
+// here for the members that have it.
 func (n *Node) View() View {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	if now.Sub(n.view.At) >= viewFor {
+	if now.Sub(n.view.At) >= viewTTL {
 		n.view = n.members.view(now)
-		n.view.Interval = n.members.interval()
+		n.view.Interval = n.members.heartbeatInterval()
 	}
 	return n.view
 }
--- a/mesh/stats.go
+++ b/mesh/stats.go
@@ -2,77 +2,78 @@
 
 import "time"
 
-// Kind tells what a datagram is for.
+// Kind is the purpose of a datagram.
 type Kind uint8
 
 const (
-	// Heartbeats go to the own zone, and to instances that were never heard.
+	// Heartbeats go to the own zone and to instances that have never sent a datagram.
 	Heartbeats Kind = iota
-	// News is what this instance's own attempts say.
-	News
-	// Passed is what came from other zones and goes on to the own one.
-	Passed
-	// Digests sum up the own zone for the others.
+	// Updates carry observations of this instance's own attempts.
+	Updates
+	// Relayed datagrams carry packets from other zones to the own zone.
+	Relayed
+	// Digests summarize the own zone for the others.
 	Digests
-	// Announcements tell of a new version of the configuration or the targets.
+	// Announcements report a new version of the configuration or the targets.
 	Announcements
-	// Greetings answer an instance that was just found.
+	// Greetings reply to an instance that was just discovered.
 	Greetings
-	// Loans are asked for and given, out of retry budgets.
+	// Loans are requests for, and grants of, parts of retry budgets.
 	Loans
-	// Rates are those that targets name, and what is asked for and given of them.
+	// Rates are the rates that targets declare, and the requests and responses for their tokens.
 	Rates
-	// Departures are targets that said that they leave.
+	// Departures are targets that announced that they are leaving.
 	Departures
-	kinds
+	numKinds
 )
 
-// String names the kind in logs and metrics.
+// String returns the name of the kind in logs and metrics.
 func (k Kind) String() string {
 	return [...]string{"heartbeats", "news", "passed", "digests", "announcements", "greetings", "loans", "rates", "departures"}[k]
 }
 
-// Kinds are all kinds of datagrams.
+// Kinds returns all kinds of datagrams.
 func Kinds() []Kind {
-	all := make([]Kind, 0, kinds)
-	for k := range kinds {
+	all := make([]Kind, 0, numKinds)
+	for k := range numKinds {
 		all = append(all, k)
 	}
 	return all
 }
 
-// Stats count datagrams since the start.
+// Stats counts datagrams since the start of the node.
 type Stats struct {
 	Sent, Received, Malformed int64
-	// Bytes are those of all datagrams that were sent or received.
+	// Bytes counts the payload of all datagrams sent and received.
 	Bytes int64
-	// SentBytes are those that were sent, by kind.
-	SentBytes [kinds]int64
-	// MostBytes is the most that was sent within one second.
-	MostBytes int64
-	// Dropped are pieces of news that waited for the link until newer ones came.
+	// SentBytes counts the payload of the datagrams sent, by kind.
+	SentBytes [numKinds]int64
+	// MaxBytesPerSecond is the largest payload sent within one second.
+	MaxBytesPerSecond int64
+	// Dropped counts the updates that newer ones displaced while they waited for the link.
 	Dropped int64
 }
 
-// meter counts what a node sends and receives.
+// meter counts the datagrams that a node sends and receives.
 type meter struct {
 	Stats
-	// second is the second that is under way, sinceBytes what was sent in it.
-	second     time.Time
-	sinceBytes int64
+	// secondStart is the start of the current one-second window, and secondBytes the payload sent
+	// in it.
+	secondStart time.Time
+	secondBytes int64
 }
 
-// sent counts a datagram that went to a number of instances.
+// sent counts a datagram of the given size that went to the given number of instances.
 func (m *meter) sent(now time.Time, k Kind, to, size int) {
 	bytes := int64(to * size)
 	m.Sent += int64(to)
 	m.Bytes += bytes
 	m.SentBytes[k] += bytes
-	if now.Sub(m.second) >= time.Second {
-		m.second, m.sinceBytes = now, 0
+	if now.Sub(m.secondStart) >= time.Second {
+		m.secondStart, m.secondBytes = now, 0
 	}
-	m.sinceBytes += bytes
-	m.MostBytes = max(m.MostBytes, m.sinceBytes)
+	m.secondBytes += bytes
+	m.MaxBytesPerSecond = max(m.MaxBytesPerSecond, m.secondBytes)
 }
 
 // received counts a datagram that arrived.
--- a/statesync/follower.go
+++ b/statesync/follower.go
@@ -209,7 +209,7 @@
 	version, position := f.o.State.Versions()
 	p.Document, p.Registry, p.Epoch = version, position.Offset, position.Epoch
 	p.Log = f.Log()
-	p.Answered = mesh.AnsweredAt(time.Now(), f.o.State.lastAnswered())
+	p.LogAvailability = mesh.NewAgeSpan(time.Now(), f.o.State.lastAnswered())
 }
 
 // Tick ends what is over by time, after what is known of the other instances.
@@ -224,14 +224,14 @@
 	for i := range v.Members {
 		m := &v.Members[i]
 		switch {
-		case !m.Answered.IsZero():
-			spans = append(spans, m.Answered)
-		case m.Log == mesh.LogAnswers:
-			spans = append(spans, registry.Span{From: m.Heard, Until: m.Heard})
+		case !m.LogAvailability.IsZero():
+			spans = append(spans, m.LogAvailability)
+		case m.Log == mesh.LogAvailable:
+			spans = append(spans, registry.Span{From: m.LastReceived, Until: m.LastReceived})
 		}
 	}
 	for i := range v.Zones {
-		spans = append(spans, v.Zones[i].Answered)
+		spans = append(spans, v.Zones[i].LogAvailability)
 	}
 	return spans
 }
@@ -246,24 +246,24 @@
 // away tells whether the store's log answers nobody, as far as known.
 func (f *Follower) away(v mesh.View) bool {
 	own := f.Log()
-	if own == mesh.LogAnswers {
+	if own == mesh.LogAvailable {
 		return false
 	}
-	away := own == mesh.LogAway
+	away := own == mesh.LogUnavailable
 	for i := range v.Members {
 		m := &v.Members[i]
 		if !m.Fresh(v.At) {
 			continue
 		}
 		switch m.Log {
-		case mesh.LogAnswers:
+		case mesh.LogAvailable:
 			return false
-		case mesh.LogAway:
+		case mesh.LogUnavailable:
 			away = true
 		}
 	}
 	for i := range v.Zones {
-		if v.Zones[i].Log == mesh.LogAnswers && v.Zones[i].Fresh(v.At) {
+		if v.Zones[i].Log == mesh.LogAvailable && v.Zones[i].Fresh(v.At) {
 			return false
 		}
 	}
@@ -348,7 +348,7 @@
 // place is how many instances of the zone come before this one that may still get
 // answers.
 func (o *Options) place(v mesh.View) int {
-	return o.before(v, func(m *mesh.Member) bool { return m.Log != mesh.LogAway })
+	return o.before(v, func(m *mesh.Member) bool { return m.Log != mesh.LogUnavailable })
 }
 
 // before counts the instances of the zone that come before this one.
@@ -357,7 +357,7 @@
 	n := 0
 	for i := range v.Members {
 		m := &v.Members[i]
-		if m.Zone == o.Zone && !m.Leaving && v.OnDuty(m) && readerRank(m.Addr) < own && counts(m) {
+		if m.Zone == o.Zone && !m.Leaving && v.Responsive(m) && readerRank(m.Addr) < own && counts(m) {
 			n++
 		}
 	}
@@ -368,7 +368,7 @@
 // store with success.
 func served(v mesh.View, counts func(*mesh.Member) bool) bool {
 	for i := range v.Members {
-		if m := &v.Members[i]; m.Zone == v.Zone && m.Log == mesh.LogAnswers && v.OnDuty(m) && counts(m) {
+		if m := &v.Members[i]; m.Zone == v.Zone && m.Log == mesh.LogAvailable && v.Responsive(m) && counts(m) {
 			return true
 		}
 	}
@@ -530,7 +530,7 @@
 	switch f.log[s] {
 	case mesh.LogUnread:
 		return firstWait
-	case mesh.LogAway:
+	case mesh.LogUnavailable:
 		return probeWait
 	}
 	if s == Targets {
@@ -551,11 +551,11 @@
 func (f *Follower) record(s Stream, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.log[s] = mesh.LogAnswers
+	f.log[s] = mesh.LogAvailable
 	if err != nil {
-		f.log[s] = mesh.LogAway
+		f.log[s] = mesh.LogUnavailable
 	}
-	lost := f.log[Documents] == mesh.LogAway || f.log[Targets] == mesh.LogAway
+	lost := f.log[Documents] == mesh.LogUnavailable || f.log[Targets] == mesh.LogUnavailable
 	switch {
 	case lost && !f.lost:
 		eventlog.Error(eventlog.StoreLost, err, "stream", s.String())
--- a/statesync/path_model_test.go
+++ b/statesync/path_model_test.go
@@ -386,7 +386,7 @@
 	m.mu.Lock()
 	o := m.heard[p.Addr]
 	o.Addr, o.Zone = p.Addr, p.Zone
-	o.Hear(now, p)
+	o.Update(now, p)
 	m.heard[p.Addr] = o
 	m.mu.Unlock()
 	m.takeDepartures(p, p.Zone != m.zone)
@@ -406,7 +406,7 @@
 func (m *instanceModel) hearZone(p *mesh.Packet, waited time.Duration) {
 	now := time.Now()
 	m.mu.Lock()
-	m.zones[p.Zone] = mesh.Zone{Name: p.Zone, Instances: 1, Log: p.Log, Heard: now, Answered: p.Answered.Span(now.Add(-waited))}
+	m.zones[p.Zone] = mesh.Zone{Name: p.Zone, Instances: 1, Log: p.Log, LastDigest: now, LogAvailability: p.LogAvailability.Span(now.Add(-waited))}
 	m.mu.Unlock()
 	m.takeDepartures(p, false)
 	if m.state.Behind(now, p.Document, p.Position()) {
--- a/statesync/path_test.go
+++ b/statesync/path_test.go
@@ -108,7 +108,7 @@
 func (f *fleetModel) readersOf(z fleet.Zone) []*instanceModel {
 	var readers []*instanceModel
 	for _, m := range f.members {
-		if m.zone == z && m.follower.Log() == mesh.LogAnswers {
+		if m.zone == z && m.follower.Log() == mesh.LogAvailable {
 			readers = append(readers, m)
 		}
 	}
--- a/statesync/restore_test.go
+++ b/statesync/restore_test.go
@@ -102,7 +102,7 @@
 	store.restore(2, 480)
 	s.applyWhole(Whole{Registry: 480, Epoch: 2, Entries: []registry.Entry{*record(0, "a").Entry}}, "peer", false)
 	atEpoch(t, s, 2, time.Second)
-	assert.Equal(t, f.Log(), mesh.LogAnswers, "a read that was ended is no loss of the store")
+	assert.Equal(t, f.Log(), mesh.LogAvailable, "a read that was ended is no loss of the store")
 }
 
 // TestAnswersOfAnotherEpochChangeNothing: late ones of an earlier epoch, and changes of a later one
@@ -143,10 +143,10 @@
 // epoch. They would hand on offsets of they do not know which epoch; the first instances of the
 // new version in each zone read the store instead.
 func TestPeersOfTheVersionBeforeAreNoSourceWhereTheStoreTellsItsEpoch(t *testing.T) {
-	before := mesh.Member{Addr: lowest(0), Zone: "a", Log: mesh.LogAnswers, Registry: registry.Position{Offset: 900}}
+	before := mesh.Member{Addr: lowest(0), Zone: "a", Log: mesh.LogAvailable, Registry: registry.Position{Offset: 900}}
 	s := NewState(0, nil)
 	f := NewFollower(Options{State: s, Store: new(restoredStore), Self: "10.0.0.1:1", Zone: "a", Peers: func() mesh.View {
-		return view(1, before, mesh.Member{Addr: lowest(1), Zone: "a", Log: mesh.LogAnswers})
+		return view(1, before, mesh.Member{Addr: lowest(1), Zone: "a", Log: mesh.LogAvailable})
 	}})
 	assert.Assert(t, !f.reads(), "the store tells no epoch, as far as known")
 	assert.Assert(t, s.Behind(time.Now(), 0, before.Registry))
@@ -193,7 +193,7 @@
 	)
 	for _, size := range []struct{ zone, zones, targets, rate int }{{12, 3, 31, 2000}, {58, 5, 660, 16000}, {184, 5, 13000, 16000}} {
 		now := time.Now()
-		members, seenBy := zoneOf(size.zone, now, mesh.LogAnswers)
+		members, seenBy := zoneOf(size.zone, now, mesh.LogAvailable)
 		for i := range members {
 			members[i].Registry = registry.Position{Epoch: 1, Offset: 500}
 		}
@@ -246,7 +246,7 @@
 			if i == self {
 				continue
 			}
-			m := mesh.Member{Addr: other.addr, Zone: "a", Log: other.f.Log(), Heard: v.At}
+			m := mesh.Member{Addr: other.addr, Zone: "a", Log: other.f.Log(), LastReceived: v.At}
 			m.Document, m.Registry = other.state.Versions()
 			v.Members = append(v.Members, m)
 		}
--- a/statesync/state_test.go
+++ b/statesync/state_test.go
@@ -109,7 +109,7 @@
 // sees of the others.
 func zoneOf(size int, now time.Time, log mesh.LogState) (members []mesh.Member, seenBy func(i int) mesh.View) {
 	for i := range size {
-		members = append(members, mesh.Member{Addr: fmt.Sprintf("10.0.0.%d:1", i+1), Zone: "a", Log: log, Heard: now})
+		members = append(members, mesh.Member{Addr: fmt.Sprintf("10.0.0.%d:1", i+1), Zone: "a", Log: log, LastReceived: now})
 	}
 	return members, func(i int) mesh.View {
 		return mesh.View{At: now, Zone: "a", Members: slices.Concat(members[:i], members[i+1:]), Zones: view(1).Zones}
@@ -170,7 +170,7 @@
 	}))
 	defer srv.Close()
 	behind := NewState(0, nil)
-	peer := mesh.Member{Addr: strings.TrimPrefix(srv.URL, "http://"), Zone: "a", Document: 7, Heard: time.Now()}
+	peer := mesh.Member{Addr: strings.TrimPrefix(srv.URL, "http://"), Zone: "a", Document: 7, LastReceived: time.Now()}
 	f := NewFollower(Options{State: behind, Self: "self", Zone: "a", Peers: func() mesh.View {
 		return mesh.View{At: time.Now(), Zone: "a", Members: []mesh.Member{peer}}
 	}})
@@ -188,10 +188,10 @@
 	now := time.Now()
 	v := mesh.View{At: now, Zone: "a", Members: members}
 	for i := range v.Members {
-		v.Members[i].Heard = now
+		v.Members[i].LastReceived = now
 	}
 	for range zones {
-		v.Zones = append(v.Zones, mesh.Zone{Name: "b", Heard: now})
+		v.Zones = append(v.Zones, mesh.Zone{Name: "b", LastDigest: now})
 	}
 	return v
 }
@@ -217,8 +217,8 @@
 	}
 	assert.Equal(t, readers(0), readersAlone)
 	assert.Equal(t, readers(1), readersPerZone)
-	assert.Assert(t, served(view(0, members(mesh.LogAnswers)...), anyone))
-	assert.Assert(t, !served(view(0, members(mesh.LogAway)...), anyone))
+	assert.Assert(t, served(view(0, members(mesh.LogAvailable)...), anyone))
+	assert.Assert(t, !served(view(0, members(mesh.LogUnavailable)...), anyone))
 }
 
 func anyone(*mesh.Member) bool { return true }
@@ -231,7 +231,7 @@
 		members = append(members, mesh.Member{Addr: fmt.Sprintf("10.0.0.%d:1", n+1), Zone: "a"})
 	}
 	slices.SortFunc(members, func(a, b mesh.Member) int { return cmp.Compare(readerRank(a.Addr), readerRank(b.Addr)) })
-	members[0].Log, members[1].Log = mesh.LogAway, mesh.LogAway
+	members[0].Log, members[1].Log = mesh.LogUnavailable, mesh.LogUnavailable
 	v := view(1, members...)
 	followers := make([]*Follower, len(members))
 	for i, m := range members {
@@ -253,7 +253,7 @@
 	assert.Equal(t, reading(), 5, "two more, since no answer is heard of")
 	v.At = v.At.Add(12 * takeOverStep)
 	for i := range v.Members {
-		v.Members[i].Heard = v.At
+		v.Members[i].LastReceived = v.At
 	}
 	for i, f := range followers {
 		rest := slices.Delete(slices.Clone(v.Members), i, i+1)
@@ -268,7 +268,7 @@
 func TestAStoreThatRefusesAllIsNotAskedByAll(t *testing.T) {
 	for _, size := range zoneSizes {
 		now := time.Now()
-		members, seenBy := zoneOf(size, now, mesh.LogAway)
+		members, seenBy := zoneOf(size, now, mesh.LogUnavailable)
 		reading := 0
 		for i, m := range members {
 			f := NewFollower(Options{Self: m.Addr, Zone: "a", Peers: func() mesh.View { return seenBy(i) }})
@@ -298,10 +298,10 @@
 	addrs := []string{"10.0.0.1:1", "10.0.0.2:1"}
 	reading := 0
 	for i, self := range addrs {
-		other := mesh.Member{Addr: addrs[1-i], Zone: "a", Log: mesh.LogAnswers}
+		other := mesh.Member{Addr: addrs[1-i], Zone: "a", Log: mesh.LogAvailable}
 		away := []mesh.Member{other}
 		for n := range readersPerZone {
-			away = append(away, mesh.Member{Addr: lowest(n), Zone: "a", Log: mesh.LogAway})
+			away = append(away, mesh.Member{Addr: lowest(n), Zone: "a", Log: mesh.LogUnavailable})
 		}
 		f := NewFollower(Options{Self: self, Zone: "a", Peers: func() mesh.View { return view(1, away...) }})
 		f.role = true
@@ -327,23 +327,23 @@
 
 func TestAnEarlierAnswerIsNoDutyNow(t *testing.T) {
 	f := NewFollower(Options{State: NewState(0, nil), Store: storeStub{}, Peers: func() mesh.View {
-		return view(0, mesh.Member{Addr: "10.0.0.1:1", Zone: "a", Log: mesh.LogAnswers})
+		return view(0, mesh.Member{Addr: "10.0.0.1:1", Zone: "a", Log: mesh.LogAvailable})
 	}, Self: "10.0.0.2:1", Zone: "a"})
 	f.role = true
 	f.note(Documents, nil)
 	f.note(Targets, nil)
-	assert.Equal(t, f.Log(), mesh.LogAnswers)
+	assert.Equal(t, f.Log(), mesh.LogAvailable)
 	f.role = false
 	f.reads()
 	assert.Equal(t, f.Log(), mesh.LogUnread, "it has just become a reader and has no answer yet")
 	f.note(Targets, nil)
 	assert.Equal(t, f.Log(), mesh.LogUnread, "of one stream only")
 	f.note(Documents, errors.New("away"))
-	assert.Equal(t, f.Log(), mesh.LogAway)
+	assert.Equal(t, f.Log(), mesh.LogUnavailable)
 }
 
 func TestASilentReaderIsReplaced(t *testing.T) {
-	v := view(1, mesh.Member{Addr: "10.0.0.1:1", Zone: "a", Log: mesh.LogAnswers})
+	v := view(1, mesh.Member{Addr: "10.0.0.1:1", Zone: "a", Log: mesh.LogAvailable})
 	assert.Assert(t, served(v, anyone))
 	v.At = v.At.Add(1100 * time.Millisecond)
 	assert.Assert(t, !served(v, anyone))
@@ -357,7 +357,7 @@
 // with the number of instances: 3.2 s at 134, 22 s at 920. Proved by the lines of the day:
 // the first reader-role that tells true comes 2.3 s after the last change that a reader told of.
 func TestSilentReadersOfALargeFleetAreReplacedInTime(t *testing.T) {
-	v := view(1, mesh.Member{Addr: "10.0.0.1:1", Zone: "a", Log: mesh.LogAnswers})
+	v := view(1, mesh.Member{Addr: "10.0.0.1:1", Zone: "a", Log: mesh.LogAvailable})
 	v.Interval = 1064 * time.Millisecond
 	assert.Assert(t, served(v, anyone))
 	v.At = v.At.Add(1100 * time.Millisecond)
