--- a/document/document.go
+++ b/document/document.go
@@ -9,13 +9,13 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// Version orders documents. Higher is newer; steps are uneven.
+// Version orders documents. Higher is newer; versions need not be consecutive.
 type Version int64
 
-// ServiceName names a service of a document.
+// ServiceName is the name of a service.
 type ServiceName string
 
-// Document is a whole configuration.
+// Document is a complete configuration.
 type Document struct {
 	Version  Version
 	Routes   []Route
@@ -23,27 +23,27 @@
 	Limits   Limits
 }
 
-// Route says where requests with a host and a path prefix go, and how.
+// Route defines where requests for a host and a path prefix are sent, and how.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Class  fleet.Class
-	// Timeout is the longest time that a caller is kept waiting; 0 means that
-	// only the caller's own deadline holds.
+	// Timeout is the maximum time that a caller waits; 0 means that only the caller's own deadline
+	// applies.
 	Timeout time.Duration
-	// Objective is the time within which an answer is worth most; 0 if none.
+	// Objective is the response time goal, within which a response is worth most; 0 if none.
 	Objective time.Duration
 	// Priority is the rank of the route's requests; 0 is the most urgent.
 	Priority int
-	// MaxAttempts is to how many targets one request may be sent. At least 1.
+	// MaxAttempts is the maximum number of targets that one request is sent to. At least 1.
 	MaxAttempts int
 	// Backends are the services that share the requests by weight.
 	Backends []Backend
 }
 
-// Backend is a service's part of a route.
+// Backend is a service's share of a route.
 type Backend struct {
 	Service ServiceName
 	Weight  int
@@ -52,12 +52,11 @@
 // Service is a group of targets that do the same work.
 type Service struct {
 	Name ServiceName
-	// MaxConnections is how many connections one target accepts from all
-	// callers together.
+	// MaxConnections is how many connections one target accepts from all callers together.
 	MaxConnections int
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits bound the size and duration of a caller's requests.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -66,7 +65,7 @@
 	IdleTimeout time.Duration
 }
 
-// Check returns an error that names the first field that is wrong.
+// Check validates the document. The error names the first invalid field.
 func (d *Document) Check() error {
 	if d.Version <= 0 {
 		return errors.Errorf("version: %d is not positive", d.Version)
@@ -78,17 +77,17 @@
 		}
 		services[s.Name] = true
 	}
-	places := make(map[[2]string]bool, len(d.Routes))
+	seen := make(map[[2]string]bool, len(d.Routes))
 	for i := range d.Routes {
 		r := &d.Routes[i]
 		if err := r.check(services); err != nil {
 			return errors.Wrapf(err, "routes[%d] %q", i, r.Name)
 		}
-		place := [2]string{r.Host, r.Prefix}
-		if places[place] {
-			return errors.Errorf("routes[%d] %q: host and prefix stand twice", i, r.Name)
+		key := [2]string{r.Host, r.Prefix}
+		if seen[key] {
+			return errors.Errorf("routes[%d] %q: duplicate host and prefix", i, r.Name)
 		}
-		places[place] = true
+		seen[key] = true
 	}
 	return d.Limits.check()
 }
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestTheLongestPrefixWins(t *testing.T) {
+func TestLongestPrefixWins(t *testing.T) {
 	table := NewTable(sample(), 0)
 	assert.Equal(t, table.Match("A.example:80", "/x/y/z").Name, "long")
 	assert.Equal(t, table.Match("a.example", "/x/z").Name, "short")
@@ -34,7 +34,7 @@
 		e := NewTable(sample(), seed).Match("a.example", "/x/y/")
 		got := map[ServiceName]int{}
 		for range 300 {
-			got[e.Backend()]++
+			got[e.NextService()]++
 		}
 		assert.Equal(t, got["s"], 270)
 		assert.Equal(t, got["t"], 30)
@@ -44,15 +44,15 @@
 func TestCheckNamesTheField(t *testing.T) {
 	assert.NilError(t, sample().Check())
 	for want, change := range map[string]func(*Document){
-		"version":             func(d *Document) { d.Version = 0 },
-		"host: empty":         func(d *Document) { d.Routes[0].Host = "" },
-		"prefix":              func(d *Document) { d.Routes[0].Prefix = "/x" },
-		"class: missing":      func(d *Document) { d.Routes[0].Class = 0 },
-		"max attempts":        func(d *Document) { d.Routes[0].MaxAttempts = 0 },
-		`service "u"`:         func(d *Document) { d.Routes[0].Backends[0].Service = "u" },
-		"weights are 0":       func(d *Document) { d.Routes[0].Backends[0].Weight = 0 },
-		"stand twice":         func(d *Document) { d.Routes[1].Prefix = "/x/" },
-		"limits.idle timeout": func(d *Document) { d.Limits.IdleTimeout = 0 },
+		"version":                   func(d *Document) { d.Version = 0 },
+		"host: empty":               func(d *Document) { d.Routes[0].Host = "" },
+		"prefix":                    func(d *Document) { d.Routes[0].Prefix = "/x" },
+		"class: missing":            func(d *Document) { d.Routes[0].Class = 0 },
+		"max attempts":              func(d *Document) { d.Routes[0].MaxAttempts = 0 },
+		`service "u"`:               func(d *Document) { d.Routes[0].Backends[0].Service = "u" },
+		"weights are 0":             func(d *Document) { d.Routes[0].Backends[0].Weight = 0 },
+		"duplicate host and prefix": func(d *Document) { d.Routes[1].Prefix = "/x/" },
+		"limits.idle timeout":       func(d *Document) { d.Limits.IdleTimeout = 0 },
 	} {
 		d := sample()
 		change(d)
--- a/document/table.go
+++ b/document/table.go
@@ -7,11 +7,11 @@
 	"sync/atomic"
 )
 
-// Table is a checked document arranged for the request path. It is immutable
-// but for the turn of each route's backends.
+// Table is a checked document indexed for request routing. It is immutable except for the turn
+// counter of each route.
 type Table struct {
 	Document *Document
-	hosts    map[string][]*Entry // by falling length of prefix
+	hosts    map[string][]*Entry // by descending prefix length
 }
 
 // Entry is one route of a table.
@@ -21,8 +21,8 @@
 	turn  atomic.Uint64
 }
 
-// NewTable arranges a checked document. Seed sets where each instance begins in
-// the turns of weighted backends, so that instances do not move in step.
+// NewTable indexes a checked document. The seed sets where the rotation of weighted backends
+// starts, so that instances do not rotate in step.
 func NewTable(d *Document, seed uint64) *Table {
 	t := &Table{Document: d, hosts: make(map[string][]*Entry)}
 	for i := range d.Routes {
@@ -63,26 +63,26 @@
 	return strings.ToLower(host)
 }
 
-// Backend returns the service of the next request. Over any run of requests as
-// long as the sum of the weights, each service gets exactly its weight; in
-// between they are spread evenly.
-func (e *Entry) Backend() ServiceName {
+// NextService returns the service of the next request. Over any run of requests as long as the sum
+// of the weights, each service is returned exactly as often as its weight, evenly spread in
+// between.
+func (e *Entry) NextService() ServiceName {
 	if len(e.Backends) == 1 {
 		return e.Backends[0].Service
 	}
-	// A stride that shares no divisor with the total visits every place once.
-	place := e.turn.Add(1) * stride(e.total) % e.total
+	// A stride coprime to the total visits every position once.
+	position := e.turn.Add(1) * stride(e.total) % e.total
 	for _, b := range e.Backends {
-		if place < uint64(b.Weight) {
+		if position < uint64(b.Weight) {
 			return b.Service
 		}
-		place -= uint64(b.Weight)
+		position -= uint64(b.Weight)
 	}
 	return e.Backends[len(e.Backends)-1].Service
 }
 
-// stride is near the golden part of total, which spreads successive places
-// evenly, and has no divisor in common with it.
+// stride returns a number near the golden section of total and coprime to it, which spreads
+// successive positions evenly.
 func stride(total uint64) uint64 {
 	const golden = 0.618
 	for s := uint64(float64(total) * golden); s > 1; s-- {
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -159,7 +159,7 @@
 	if c.standing() == quarantine.Quarantined && !c.onTrial() {
 		return c.refuseContent()
 	}
-	c.service = c.route.Backend()
+	c.service = c.route.NextService()
 	c.h.Knowledge.Request(time.Now(), c.service, c.urgent())
 	return c.answer(c.attempts())
 }
--- a/registry/contact.go
+++ b/registry/contact.go
@@ -6,71 +6,69 @@
 )
 
 const (
-	// leastOutage is the length from which a time without an answer counts as an outage of the log.
-	// Entries lapse only in longer ones, and between two readers, one of which replaces the
-	// other, less time passes.
-	leastOutage = time.Second
-	// contactMemory is for how long it is remembered when the log answered: longer than any hold.
-	contactMemory = 30 * time.Second
+	// minOutage is the shortest gap between responses that counts as an outage of the log. Entries
+	// lapse only in longer ones, and the handover between two readers of the log takes less.
+	minOutage = time.Second
+	// spanRetention is how long spans are kept: longer than any grace period.
+	spanRetention = 30 * time.Second
 )
 
-// Span is a time in which the log answered somebody without a break: each read that was made was
-// answered in time.
+// Span is a time in which the log was available to at least one instance without a break: each read
+// was answered in time.
 type Span struct{ From, Until time.Time }
 
-// IsZero tells whether the span is none.
+// IsZero reports whether the span is unset.
 func (s Span) IsZero() bool { return s.Until.IsZero() }
 
-// contact is what is known of when the log answered, by all instances that are heard. The log was away
-// when it answered nobody: one instance that got no answer proves nothing.
-type contact struct {
-	// spans are in order; between two of them is an outage.
+// logAvailability records when the log was available, as reported by all instances. The log counts
+// as unavailable only if no instance got a response: one without a response proves nothing.
+type logAvailability struct {
+	// spans are in order; the gaps between them are outages.
 	spans []Span
-	// away tells that somebody gets no answer now, and nobody is known to get any.
-	away bool
+	// unavailable is whether some instance gets no response now and none is known to get one.
+	unavailable bool
 }
 
-// answered takes in a time in which the log answered somebody.
-func (c *contact) answered(s Span) {
+// record adds a span, merging those that are less than minOutage apart.
+func (a *logAvailability) record(s Span) {
 	covered := func(o Span) bool { return !s.From.Before(o.From) && !s.Until.After(o.Until) }
-	if s.IsZero() || s.Until.Before(s.From) || slices.ContainsFunc(c.spans, covered) {
+	if s.IsZero() || s.Until.Before(s.From) || slices.ContainsFunc(a.spans, covered) {
 		return
 	}
-	before := func(o Span) bool { return s.From.Sub(o.Until) >= leastOutage }
-	after := func(o Span) bool { return o.From.Sub(s.Until) >= leastOutage }
+	before := func(o Span) bool { return s.From.Sub(o.Until) >= minOutage }
+	after := func(o Span) bool { return o.From.Sub(s.Until) >= minOutage }
 	var spans []Span
 	i := 0
-	for ; i < len(c.spans) && before(c.spans[i]); i++ {
-		spans = append(spans, c.spans[i])
+	for ; i < len(a.spans) && before(a.spans[i]); i++ {
+		spans = append(spans, a.spans[i])
 	}
-	for ; i < len(c.spans) && !after(c.spans[i]); i++ {
-		s = Span{earlier(s.From, c.spans[i].From), later(s.Until, c.spans[i].Until)}
+	for ; i < len(a.spans) && !after(a.spans[i]); i++ {
+		s = Span{earlier(s.From, a.spans[i].From), later(s.Until, a.spans[i].Until)}
 	}
-	c.spans = append(append(spans, s), c.spans[i:]...)
+	a.spans = append(append(spans, s), a.spans[i:]...)
 }
 
-// forget drops what no hold asks for any more.
-func (c *contact) forget(now time.Time) {
-	c.spans = slices.DeleteFunc(c.spans, func(s Span) bool { return now.Sub(s.Until) > contactMemory })
+// prune drops spans that no grace period depends on any more.
+func (a *logAvailability) prune(now time.Time) {
+	a.spans = slices.DeleteFunc(a.spans, func(s Span) bool { return now.Sub(s.Until) > spanRetention })
 }
 
-// last is the latest span, zero if none is known.
-func (c *contact) last() Span {
-	if len(c.spans) == 0 {
+// last returns the latest span, zero if there is none.
+func (a *logAvailability) last() Span {
+	if len(a.spans) == 0 {
 		return Span{}
 	}
-	return c.spans[len(c.spans)-1]
+	return a.spans[len(a.spans)-1]
 }
 
-// outages are the times in which the log answered nobody, the one that has not ended
-// included.
-func (c *contact) outages(now time.Time) []Span {
+// outages returns the times in which the log was unavailable, including an outage in progress.
+func (a *logAvailability) outages(now time.Time) []Span {
 	var outages []Span
-	for i := 1; i < len(c.spans); i++ {
-		outages = append(outages, Span{c.spans[i-1].Until, c.spans[i].From})
+	for i := 1; i < len(a.spans); i++ {
+		outages = append(outages, Span{a.spans[i-1].Until, a.spans[i].From})
 	}
-	if c.away {
-		outages = append(outages, Span{c.last().Until, now})
+	if a.unavailable {
+		outages = append(outages, Span{a.last().Until, now})
 	}
 	return outages
 }
@@ -82,26 +80,26 @@
 	return a
 }
 
-// Answered takes in a time in which the log answered some instance.
-func (r *Registry) Answered(s Span) { r.contact.answered(s) }
+// RecordAnswered records a span in which the log answered some instance.
+func (r *Registry) RecordAnswered(s Span) { r.availability.record(s) }
 
-// LastAnswered is the latest time in which the log is known to have answered somebody; zero if
-// none is known.
-func (r *Registry) LastAnswered() Span { return r.contact.last() }
+// LastAnswered returns the latest span in which the log answered some instance; zero if there is
+// none.
+func (r *Registry) LastAnswered() Span { return r.availability.last() }
 
-// SetAway notes whether somebody gets no answer from the log, and nobody is known to get any. It tells
-// whether that is news.
-func (r *Registry) SetAway(away bool) bool {
-	news := r.contact.away != away
-	r.contact.away = away
-	return news
+// SetUnavailable records whether some instance gets no response from the log and none is known to
+// get one. It reports whether that changed.
+func (r *Registry) SetUnavailable(unavailable bool) bool {
+	changed := r.availability.unavailable != unavailable
+	r.availability.unavailable = unavailable
+	return changed
 }
 
-// Outage is the last outage of the log that has ended; zero if none is known.
-func (r *Registry) Outage() Span {
-	n := len(r.contact.spans)
+// LastOutage returns the last outage of the log that has ended; zero if there is none.
+func (r *Registry) LastOutage() Span {
+	n := len(r.availability.spans)
 	if n < 2 {
 		return Span{}
 	}
-	return Span{r.contact.spans[n-2].Until, r.contact.spans[n-1].From}
+	return Span{r.availability.spans[n-2].Until, r.availability.spans[n-1].From}
 }
--- a/registry/holds.go
+++ b/registry/holds.go
@@ -8,139 +8,138 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// Holds for an entry that vanished without a notice.
+// Grace periods for entries that vanished without an announcement.
 const (
-	// CalmHold covers an outage of the log that was too short to be noticed, from
-	// the moment of the removal, as far as it is known.
-	CalmHold = 800 * time.Millisecond
-	// holdShare is the part of the bound for work at targets that are gone that a
-	// hold may take, where the bound is shorter than 2 s.
-	holdShare = 0.4
-	// lapsedShare and lapsedLeast are the part and the number of a service's entries
-	// from which those that vanish together may be put down to an outage that nobody noticed.
-	// They are held for as long as the bound for work at targets that are gone allows:
-	// leaveReserve less, for what follows the end of a hold until the last request arrives.
-	lapsedShare  = 0.5
-	lapsedLeast  = 3
-	leaveReserve = 700 * time.Millisecond
-	// defaultBound is that bound where nobody tells it.
-	defaultBound = 2 * time.Second
-	// OutageHold counts from the return of the log: live targets register anew
-	// within about 2 s of it.
-	OutageHold = 2300 * time.Millisecond
-	// OutageMemory is for how long after the log's return a vanished entry
-	// is put down to the outage.
-	OutageMemory = 2 * time.Second
+	// BaseGracePeriod covers an outage of the log that was too short to be noticed. It counts from
+	// the removal, if its time is known.
+	BaseGracePeriod = 800 * time.Millisecond
+	// gracePeriodShare is the share of the removal bound (see SetRemovalBound) that BaseGracePeriod
+	// may take, where the bound is shorter than 2 s.
+	gracePeriodShare = 0.4
+	// massLapseShare and minMassLapse are the share and the number of a service's entries from
+	// which a joint removal may be due to an outage that nobody noticed. Such targets stay in use
+	// for as long as the removal bound allows, less drainReserve for the time from the end of the
+	// grace period until the last request arrives.
+	massLapseShare = 0.5
+	minMassLapse   = 3
+	drainReserve   = 700 * time.Millisecond
+	// defaultRemovalBound is the removal bound if none is set.
+	defaultRemovalBound = 2 * time.Second
+	// OutageGracePeriod counts from the end of an outage: live targets register again within about
+	// 2 s.
+	OutageGracePeriod = 2300 * time.Millisecond
+	// OutageAttributionWindow is how long after the end of an outage a removal is still attributed
+	// to it.
+	OutageAttributionWindow = 2 * time.Second
 )
 
-// held is a target that is in use though its entry has vanished.
-type held struct {
+// vanishedTarget is a target that is still in use after its entry vanished.
+type vanishedTarget struct {
 	target *Target
-	// since is when the removal was first learned of.
-	since time.Time
-	// trusted is until when the target is kept since a restored log lacks it; zero if the log
-	// says that it is gone.
-	trusted time.Time
+	// firstLearnedAt is when any instance first learned of the removal.
+	firstLearnedAt time.Time
+	// unconfirmedUntil is when an unconfirmed target, one that a restored log lacks, goes out of
+	// use; zero if the log reported its removal.
+	unconfirmedUntil time.Time
 }
 
-// Vanished tells peers of an entry that was removed.
+// Vanished informs peers that an entry was removed.
 type Vanished struct {
 	_  struct{} `cbor:",toarray"`
 	ID fleet.TargetID
-	// AgeMillis is how long ago the sender, or whoever told it, learned of the
-	// removal.
+	// AgeMillis is how long ago the first instance learned of the removal.
 	AgeMillis int64
 }
 
-// LeaveWithin sets within which time a target that has gone must get no more work;
-// holds are kept below it.
-func (r *Registry) LeaveWithin(bound time.Duration) {
-	r.calmHold = min(CalmHold, time.Duration(holdShare*float64(bound)))
-	r.lapsedHold = max(bound-leaveReserve, r.calmHold)
+// SetRemovalBound sets the removal bound: the time within which a removed target must stop getting
+// work. Grace periods stay below it unless an outage or a restore of the log is known.
+func (r *Registry) SetRemovalBound(bound time.Duration) {
+	r.baseGracePeriod = min(BaseGracePeriod, time.Duration(gracePeriodShare*float64(bound)))
+	r.massLapseGracePeriod = max(bound-drainReserve, r.baseGracePeriod)
 }
 
-// HoldReason says why a target stays in use though its entry has vanished.
-type HoldReason string
+// GraceReason is why a target stays in use after its entry vanished.
+type GraceReason string
 
-// Reasons of holds.
+// Reasons of grace periods.
 const (
-	// HoldCalm covers an outage that nobody noticed.
-	HoldCalm HoldReason = "calm"
-	// HoldOutage gives targets the time to register anew after an outage of the log.
-	HoldOutage HoldReason = "outage"
-	// HoldRestore is the same after the log was restored from an older copy.
-	HoldRestore HoldReason = "restore"
+	// GraceUnnoticedOutage covers an outage that nobody noticed.
+	GraceUnnoticedOutage GraceReason = "calm"
+	// GraceOutage gives targets time to register again after an outage of the log.
+	GraceOutage GraceReason = "outage"
+	// GraceRestore gives targets time to register again after the log was restored from an older
+	// copy.
+	GraceRestore GraceReason = "restore"
 )
 
-// Hold tells that a target stays in use though its entry has vanished.
-type Hold struct {
+// GracePeriod describes a target that stays in use after its entry vanished.
+type GracePeriod struct {
 	Target *Target
-	// Age is how long ago the removal was first learned of, For how long the target stays in use
-	// by what is known now.
-	Age, For time.Duration
-	Why      HoldReason
+	// Age is how long ago the removal was first learned of, Remaining how long the target will stay
+	// in use as far as known now.
+	Age, Remaining time.Duration
+	Reason         GraceReason
 }
 
-// TakeHolds returns the holds that have begun since the last call.
-func (r *Registry) TakeHolds() []Hold {
-	holds := r.holds
-	r.holds = nil
-	return holds
+// TakeGracePeriods returns the grace periods that have begun since the last call.
+func (r *Registry) TakeGracePeriods() []GracePeriod {
+	periods := r.gracePeriods
+	r.gracePeriods = nil
+	return periods
 }
 
-// holdEnd is until when a target is held. Only what vanished in an outage of the log, or a moment
-// after, is held for longer than the bound for work at targets that are gone allows: live targets
-// register anew then.
-func (r *Registry) holdEnd(now time.Time, h held) (time.Time, HoldReason) {
-	end, why := h.since.Add(r.calmHold), HoldCalm
-	if !h.trusted.IsZero() {
-		end, why = h.trusted, HoldRestore
+// gracePeriodEnd returns when a vanished target goes out of use, and why it is kept. Only targets
+// that vanished during an outage of the log, or shortly after, may be kept past the removal bound,
+// since live targets register again then.
+func (r *Registry) gracePeriodEnd(now time.Time, h vanishedTarget) (time.Time, GraceReason) {
+	end, reason := h.firstLearnedAt.Add(r.baseGracePeriod), GraceUnnoticedOutage
+	if !h.unconfirmedUntil.IsZero() {
+		end, reason = h.unconfirmedUntil, GraceRestore
 	}
-	if after := h.since.Sub(r.restoredAt); after >= 0 && after < OutageMemory {
-		end, why = later(end, r.restoredAt.Add(OutageHold)), HoldRestore
+	if after := h.firstLearnedAt.Sub(r.restoredAt); after >= 0 && after < OutageAttributionWindow {
+		end, reason = later(end, r.restoredAt.Add(OutageGracePeriod)), GraceRestore
 	}
-	for _, o := range r.contact.outages(now) {
-		vanished := h.since.After(o.From) && h.since.Sub(o.Until) < OutageMemory
-		waited := why != HoldCalm && o.From.Before(end) && o.Until.After(h.since)
+	for _, o := range r.availability.outages(now) {
+		vanished := h.firstLearnedAt.After(o.From) && h.firstLearnedAt.Sub(o.Until) < OutageAttributionWindow
+		waited := reason != GraceUnnoticedOutage && o.From.Before(end) && o.Until.After(h.firstLearnedAt)
 		if vanished || waited {
-			end, why = later(end, o.Until.Add(OutageHold)), HoldOutage
+			end, reason = later(end, o.Until.Add(OutageGracePeriod)), GraceOutage
 		}
 	}
-	return end, why
+	return end, reason
 }
 
-// Tick ends the holds and doubts that are over.
+// Tick ends the grace periods, and admits the stale candidates, whose time is over.
 func (r *Registry) Tick(now time.Time) {
-	r.contact.forget(now)
-	r.forgetDepartures(now)
-	if !r.contact.away {
-		r.endDoubts(now)
+	r.availability.prune(now)
+	r.pruneDepartures(now)
+	if !r.availability.unavailable {
+		r.admitStaleCandidates(now)
 	}
-	if len(r.held) == 0 {
+	if len(r.inGracePeriod) == 0 {
 		return
 	}
-	lapsed := r.lapsed()
-	for id, h := range r.held {
-		until, _ := r.holdEnd(now, h)
+	lapsed := r.massLapsed()
+	for id, h := range r.inGracePeriod {
+		until, _ := r.gracePeriodEnd(now, h)
 		if lapsed[h.target.Service] {
-			until = later(until, h.since.Add(r.lapsedHold))
+			until = later(until, h.firstLearnedAt.Add(r.massLapseGracePeriod))
 		}
 		if now.After(until) {
-			delete(r.held, id)
+			delete(r.inGracePeriod, id)
 			r.changed = true
-			if _, known := r.removed[id]; !known { // it was kept on trust
-				r.remember(now, h.target, h.since)
+			if _, recorded := r.removed[id]; !recorded { // it was kept unconfirmed
+				r.recordRemoval(now, h.target, h.firstLearnedAt)
 			}
 		}
 	}
 }
 
-// lapsed returns the services of which most entries vanished together: nobody takes so
-// many targets away at once without a notice, so the log may have been away for a time that
-// went unnoticed.
-func (r *Registry) lapsed() map[document.ServiceName]bool {
+// massLapsed returns the services of which most entries vanished together: nobody removes
+// so many targets at once without an announcement, so an outage of the log may have gone unnoticed.
+func (r *Registry) massLapsed() map[document.ServiceName]bool {
 	vanished, all := make(map[document.ServiceName]int), make(map[document.ServiceName]int)
-	for _, h := range r.held {
+	for _, h := range r.inGracePeriod {
 		vanished[h.target.Service]++
 		all[h.target.Service]++
 	}
@@ -149,29 +148,29 @@
 	}
 	lapsed := make(map[document.ServiceName]bool)
 	for name, n := range vanished {
-		lapsed[name] = n >= lapsedLeast && float64(n) > lapsedShare*float64(all[name])
+		lapsed[name] = n >= minMassLapse && float64(n) > massLapseShare*float64(all[name])
 	}
 	return lapsed
 }
 
-// Vanished returns the removals that somebody may not have heard of yet, with their ages: all that
-// learn of one count its hold from the same moment, however late they learn.
+// Vanished returns the removals that a peer may not have received yet, with their ages, so that the
+// grace period counts from the same moment on all instances, however late they learn of a removal.
 func (r *Registry) Vanished(now time.Time) []Vanished {
-	vs := make([]Vanished, 0, len(r.held))
+	vs := make([]Vanished, 0, len(r.inGracePeriod))
 	age := func(since time.Time) int64 { return now.Sub(since).Milliseconds() }
-	for id, h := range r.held {
-		vs = append(vs, Vanished{ID: id, AgeMillis: age(h.since)})
+	for id, h := range r.inGracePeriod {
+		vs = append(vs, Vanished{ID: id, AgeMillis: age(h.firstLearnedAt)})
 	}
-	for id, l := range r.removed {
-		if _, held := r.held[id]; !held && !l.since.IsZero() && now.Sub(l.since) < removedFor {
-			vs = append(vs, Vanished{ID: id, AgeMillis: age(l.since)})
+	for id, rm := range r.removed {
+		if _, kept := r.inGracePeriod[id]; !kept && !rm.firstLearnedAt.IsZero() && now.Sub(rm.firstLearnedAt) < removalRetention {
+			vs = append(vs, Vanished{ID: id, AgeMillis: age(rm.firstLearnedAt)})
 		}
 	}
 	return vs
 }
 
-// VanishedIn returns those of Vanished that changes are about.
-func (r *Registry) VanishedIn(now time.Time, changes []Change) []Vanished {
+// VanishedAmong returns the elements of Vanished that the changes removed.
+func (r *Registry) VanishedAmong(now time.Time, changes []Change) []Vanished {
 	removed := make(map[fleet.TargetID]bool)
 	for _, c := range changes {
 		if c.Entry == nil {
--- a/registry/position.go
+++ b/registry/position.go
@@ -2,12 +2,11 @@
 
 import "cmp"
 
-// Offset counts the changes of the log: a registry at offset n has applied all
-// changes before n.
+// Offset counts the changes of the log: a registry at offset n has applied all changes before n.
 type Offset int64
 
-// Epoch counts how often the log was restored from an older copy. Offsets of different epochs
-// have nothing to do with each other. It is 0 where the log does not tell it.
+// Epoch counts how often the log was restored from an older copy. Offsets of different epochs are
+// not comparable. It is 0 if the log does not report it.
 type Epoch int64
 
 // Position is a place in the log.
@@ -24,10 +23,10 @@
 	return cmp.Compare(p.Offset, other.Offset)
 }
 
-// After tells whether the position is later than another.
+// After reports whether p is later than other.
 func (p Position) After(other Position) bool { return p.Compare(other) > 0 }
 
-// Later is the later one of two positions.
+// Later returns the later of two positions.
 func Later(a, b Position) Position {
 	if b.After(a) {
 		return b
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -10,58 +10,58 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// Entry is what a target registered.
+// Entry is the registration of a target.
 type Entry struct {
 	_       struct{} `cbor:",toarray"`
 	ID      fleet.TargetID
 	Service document.ServiceName
 	Addr    string
 	Zone    fleet.Zone
-	// Slots is how many requests the target works on at once.
+	// Slots is how many requests the target processes concurrently.
 	Slots int
-	// Leaving targets finish what they have and get no new work.
+	// Leaving targets finish their requests and get no new work.
 	Leaving bool
-	// Sequence grows with each renewal by one target.
+	// Sequence grows with each renewal by one target process.
 	Sequence int64
-	// Warmup is how long the target stays slow after its start, counted from
-	// the renewal.
+	// Warmup is how long the target stays slow after its start, counted from the renewal.
 	Warmup time.Duration
-	// Born is when the target's process started, in milliseconds since the Unix epoch; 0
-	// if it does not say. A later process under the ID knows nothing of the earlier one,
-	// and its sequence starts anew. It travels beside the entry: see Starts.
+	// Born is when the target's process started, in milliseconds since the Unix epoch; 0 if it does
+	// not report it. A later process with the same ID has no state of the earlier one, and its
+	// sequence starts again. Born travels beside the entry: see StartTimes.
 	Born int64 `cbor:"-"`
 }
 
-// after tells whether the entry was written after another of the same ID.
-func (e *Entry) after(born, sequence int64) bool {
+// newerThan reports whether the entry was written after another one of the same ID.
+func (e *Entry) newerThan(born, sequence int64) bool {
 	if e.Born != born {
 		return e.Born > born
 	}
 	return e.Sequence > sequence
 }
 
-// Starts returns when the processes of entries were born, in their order; nil if none says
-// so. It travels beside the entries, whose form stays that of instances that know nothing
-// of it.
-func Starts(entries []*Entry) []int64 {
-	starts, told := make([]int64, len(entries)), false
+// StartTimes returns the start times of the entries' processes, in order; nil if none has any. They
+// travel beside the entries so that the encoding of an entry stays readable by instances that do
+// not support them.
+func StartTimes(entries []*Entry) []int64 {
+	starts, reported := make([]int64, len(entries)), false
 	for i, e := range entries {
 		starts[i] = e.Born
-		told = told || e.Born != 0
+		reported = reported || e.Born != 0
 	}
-	if !told {
+	if !reported {
 		return nil
 	}
 	return starts
 }
 
-// SetStarts gives entries what Starts returned.
-func SetStarts(entries []*Entry, starts []int64) error {
+// SetStartTimes sets the start times that StartTimes returned. It fails if their number differs
+// from that of the entries.
+func SetStartTimes(entries []*Entry, starts []int64) error {
 	if len(starts) == 0 {
 		return nil
 	}
 	if len(starts) != len(entries) {
-		return errors.Errorf("%d starts for %d entries", len(starts), len(entries))
+		return errors.Errorf("%d start times for %d entries", len(starts), len(entries))
 	}
 	for i, e := range entries {
 		e.Born = starts[i]
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// Change is one record of the log, of the epoch that the registry is in. Entry is nil if the
-// entry was removed.
+// Change is one record of the log, in the current epoch of the registry. Entry is nil if the entry
+// was removed.
 type Change struct {
 	_      struct{} `cbor:",toarray"`
 	Offset Offset
@@ -81,18 +81,18 @@
 // Target is a registered target in use.
 type Target struct {
 	Entry
-	// WarmAt is when the target is expected to be at full speed.
+	// WarmAt is when the target is expected to reach full speed.
 	WarmAt time.Time
 }
 
-// View is an immutable snapshot.
+// View is an immutable snapshot of the targets in use.
 type View struct {
 	Next     Position
 	Services map[document.ServiceName][]*Target
 	byID     map[fleet.TargetID]*Target
 }
 
-// Target returns the target in use of an ID, or nil.
+// Target returns the target in use with an ID, or nil.
 func (v *View) Target(id fleet.TargetID) *Target { return v.byID[id] }
 
 // Each calls f with every target in use.
@@ -102,110 +102,111 @@
 	}
 }
 
-// Len is how many targets are in use.
+// Len returns the number of targets in use.
 func (v *View) Len() int { return len(v.byID) }
 
 const (
-	// recentChanges bounds the changes that are kept for peers that lag. Each takes
-	// about 100 bytes, and a peer that lags by more gets the whole state.
-	recentChanges = 512
-	// sequenceMemory bounds for how many removed targets the last renewal is
-	// remembered.
-	sequenceMemory = 4096
+	// maxRecentChanges bounds the changes that are kept for lagging peers. Each takes about 100
+	// bytes; a peer that lags by more gets a snapshot.
+	maxRecentChanges = 512
+	// maxRemovals bounds the removed targets whose last renewal is kept.
+	maxRemovals = 4096
 )
 
-// Registry is the state of one instance. It belongs to one goroutine.
+// Registry is the state of one instance. It is not safe for concurrent use.
 type Registry struct {
-	next    Position
-	entries map[fleet.TargetID]*Target
-	held    map[fleet.TargetID]held
-	// removed holds the last renewal of targets that are gone, so that a late write of
-	// an old one does not bring them back.
-	removed map[fleet.TargetID]renewal
-	// doubted are entries of targets that had gone before the log was restored.
-	doubted map[fleet.TargetID]*Target
-	// departures are processes that said in answers that they leave.
+	next          Position
+	entries       map[fleet.TargetID]*Target
+	inGracePeriod map[fleet.TargetID]vanishedTarget
+	// removed holds the last renewal of removed targets, so that a delayed write of an older one
+	// does not revive them.
+	removed map[fleet.TargetID]removal
+	// staleCandidates are entries in a restored log of targets that had vanished before the
+	// restore. They get no work until they are confirmed.
+	staleCandidates map[fleet.TargetID]*Target
+	// departures are processes that announced in responses that they leave.
 	departures map[fleet.TargetID]departure
-	// restored tells of the last restore of the log until it is taken; restoredAt is when
-	// the fleet first learned of it, and epochSince when this instance learned of the epoch.
+	// restored describes the last restore of the log until it is taken; restoredAt is when the
+	// fleet first learned of it, epochSince when the current epoch was first learned of.
 	restored   *Restored
 	restoredAt time.Time
 	epochSince time.Time
-	// holds are those that began since they were last taken.
-	holds []Hold
-	// restarted are targets that have started again since they were last taken.
+	// gracePeriods are those that began since they were last taken.
+	gracePeriods []GracePeriod
+	// restarted are targets that have restarted since they were last taken.
 	restarted []fleet.TargetID
 	// recent are the last changes, without a gap up to next.
-	recent   []Change
-	contact  contact
-	changed  bool
-	view     *View
-	calmHold time.Duration
-	// lapsedHold is that of entries of which many of a service vanish together.
-	lapsedHold time.Duration
+	recent          []Change
+	availability    logAvailability
+	changed         bool
+	view            *View
+	baseGracePeriod time.Duration
+	// massLapseGracePeriod applies if most entries of a service vanish together.
+	massLapseGracePeriod time.Duration
 }
 
-// renewal is what is remembered of a target that has gone.
-type renewal struct {
+// removal is the recorded state of a removed target.
+type removal struct {
 	born, sequence int64
-	// noticed tells that the target announced that it leaves. Else the same process may come back.
-	noticed bool
-	// epoch is that of the removal, at when this instance learned of it, since when the first of
-	// all did.
-	epoch     Epoch
-	at, since time.Time
+	// announced is whether the target announced that it leaves. Otherwise the same process may
+	// return.
+	announced bool
+	// epoch is that of the removal, learnedAt when this instance learned of it, firstLearnedAt when
+	// any instance did.
+	epoch                     Epoch
+	learnedAt, firstLearnedAt time.Time
 }
 
-// outdates tells whether an entry is older than the removal, in a log of the given epoch.
+// outdates reports whether an entry is older than the removal, in a log of the given epoch.
 //
-// Of a target that left without a notice an entry that follows in the log is news, whatever its
-// sequence. One of a later epoch follows in nothing, so that the sequence decides: else a copy
-// that is older than the removal would bring back what has gone.
-func (l *renewal) outdates(e *Entry, epoch Epoch) bool {
-	if e.Born != l.born {
-		return e.Born < l.born
-	}
-	if l.sequence == 0 || e.Sequence == 0 {
+// If the target was removed without an announcement, an entry that follows in the same epoch is
+// newer, whatever its sequence. Across epochs the order of the log says nothing, so the sequence
+// decides: otherwise a copy older than the removal would revive the target.
+func (rm *removal) outdates(e *Entry, epoch Epoch) bool {
+	if e.Born != rm.born {
+		return e.Born < rm.born
+	}
+	if rm.sequence == 0 || e.Sequence == 0 {
 		return false
 	}
-	if l.noticed {
-		return e.Sequence <= l.sequence
+	if rm.announced {
+		return e.Sequence <= rm.sequence
 	}
-	return l.epoch != epoch && e.Sequence < l.sequence
+	return rm.epoch != epoch && e.Sequence < rm.sequence
 }
 
-// doubts tells whether an entry of a whole state may be what the log's older copy shows of the
-// target, or what the target has written again since.
-func (l *renewal) doubts(e *Entry, epoch Epoch) bool {
-	return !l.noticed && l.epoch != epoch && e.Born == l.born && e.Sequence == l.sequence && e.Sequence > 0
+// mayBeStale reports whether an entry of a snapshot may come from the older copy of the log rather
+// than have been written again by the target since.
+func (rm *removal) mayBeStale(e *Entry, epoch Epoch) bool {
+	return !rm.announced && rm.epoch != epoch && e.Born == rm.born && e.Sequence == rm.sequence && e.Sequence > 0
 }
 
 // New returns an empty registry.
 func New() *Registry {
 	r := &Registry{
-		entries: make(map[fleet.TargetID]*Target),
-		held:    make(map[fleet.TargetID]held),
-		removed: make(map[fleet.TargetID]renewal),
-		doubted: make(map[fleet.TargetID]*Target),
-		changed: true,
+		entries:         make(map[fleet.TargetID]*Target),
+		inGracePeriod:   make(map[fleet.TargetID]vanishedTarget),
+		removed:         make(map[fleet.TargetID]removal),
+		staleCandidates: make(map[fleet.TargetID]*Target),
+		changed:         true,
 
 		departures: make(map[fleet.TargetID]departure),
 	}
-	r.LeaveWithin(defaultBound)
+	r.SetRemovalBound(defaultRemovalBound)
 	r.View()
 	return r
 }
 
-// Next is the position of the first change that was not applied yet.
+// Next returns the position of the first change that is not applied yet.
 func (r *Registry) Next() Position { return r.next }
 
-// Apply takes in the next change. It tells false, and does nothing, if changes
-// before it are missing; a change that was applied before is passed over.
+// Apply applies the next change. It returns false and does nothing if changes before it are
+// missing; a change that is already applied is ignored.
 func (r *Registry) Apply(now time.Time, c Change) bool {
 	return r.ApplySince(now, c, now)
 }
 
-// ApplySince takes in a change; since is when its removal was first learned of, or happened.
+// ApplySince is like Apply; since is when a removal happened or was first learned of.
 func (r *Registry) ApplySince(now time.Time, c Change, since time.Time) bool {
 	if c.Offset > r.next.Offset {
 		return false
@@ -214,8 +215,8 @@
 		return true
 	}
 	r.next.Offset++
-	if len(r.recent) >= 2*recentChanges {
-		r.recent = append(r.recent[:0], r.recent[recentChanges:]...)
+	if len(r.recent) >= 2*maxRecentChanges {
+		r.recent = append(r.recent[:0], r.recent[maxRecentChanges:]...)
 	}
 	r.recent = append(r.recent, c)
 	if c.Entry == nil {
@@ -226,8 +227,8 @@
 	return true
 }
 
-// Since returns the changes from a position on, and false if not all are kept.
-func (r *Registry) Since(p Position) ([]Change, bool) {
+// ChangesSince returns the changes from a position on, and false if they are not all kept.
+func (r *Registry) ChangesSince(p Position) ([]Change, bool) {
 	missing := int(r.next.Offset - p.Offset)
 	if p.Epoch != r.next.Epoch || missing < 0 || missing > len(r.recent) {
 		return nil, false
@@ -235,23 +236,23 @@
 	return slices.Clone(r.recent[len(r.recent)-missing:]), true
 }
 
-// Catch takes in the changes that a peer kept; vanished are removals that it learned
-// of lately. One that is not among these has gone for the peer. It tells whether there was any
-// news.
-func (r *Registry) Catch(now time.Time, changes []Change, vanished []Vanished) bool {
+// CatchUp applies the changes that a peer kept; vanished are the removals that the peer learned of
+// recently. For a removal that is not among them, the grace period is over at the peer. CatchUp
+// reports whether the position advanced.
+func (r *Registry) CatchUp(now time.Time, changes []Change, vanished []Vanished) bool {
 	before := r.next
 	since := firstLearned(now, vanished)
 	for _, c := range changes {
-		from, told := since[c.ID]
-		if !told {
-			from = now.Add(-r.calmHold)
+		from, ok := since[c.ID]
+		if !ok {
+			from = now.Add(-r.baseGracePeriod)
 		}
 		r.ApplySince(now, c, from)
 	}
 	return r.next.After(before)
 }
 
-// firstLearned is when peers first learned of removals.
+// firstLearned returns when the first instance learned of each removal.
 func firstLearned(now time.Time, vanished []Vanished) map[fleet.TargetID]time.Time {
 	since := make(map[fleet.TargetID]time.Time, len(vanished))
 	for _, v := range vanished {
@@ -260,7 +261,8 @@
 	return since
 }
 
-// Replace takes in the whole state of the log, if that is ahead of what was applied.
+// Replace applies a snapshot of the log if it is ahead of the current position, and reports whether
+// it is.
 func (r *Registry) Replace(now time.Time, s Snapshot) bool {
 	if !s.Next.After(r.next) {
 		return false
@@ -271,17 +273,17 @@
 	if s.Next.Epoch != before.Epoch || r.epochSince.IsZero() {
 		r.epochSince = now.Add(-s.RestoreAge)
 	}
-	restored := s.Next.Epoch != before.Epoch && len(r.entries)+len(r.held) > 0
+	restored := s.Next.Epoch != before.Epoch && len(r.entries)+len(r.inGracePeriod) > 0
 	if restored {
-		r.restore(now, before, s)
+		r.handleRestore(now, before, s)
 	}
 	since := firstLearned(now, s.Vanished)
 	listed := make(map[fleet.TargetID]bool, len(s.Entries))
-	clear(r.doubted)
+	clear(r.staleCandidates)
 	for _, e := range s.Entries {
 		listed[e.ID] = true
-		if r.doubts(&e) {
-			r.doubted[e.ID] = newTarget(now, e)
+		if r.mayBeStale(&e) {
+			r.staleCandidates[e.ID] = newTarget(now, e)
 			continue
 		}
 		r.put(now, e)
@@ -290,17 +292,17 @@
 		if listed[id] {
 			continue
 		}
-		from, told := since[id]
-		if !told {
+		from, ok := since[id]
+		if !ok {
 			from = now
 		}
 		if restored && !r.entries[id].Leaving {
-			r.trust(id)
+			r.keepUnconfirmed(id)
 			continue
 		}
 		r.remove(now, id, from)
 	}
-	r.forget(now, s.Removed)
+	r.applyRemoved(now, s.Removed)
 	return true
 }
 
@@ -309,36 +311,36 @@
 		r.countOutdated(&e)
 		return
 	}
-	if r.startsAgain(&e) {
+	if r.isRestart(&e) {
 		r.restarted = append(r.restarted, e.ID)
 	}
-	r.use(newTarget(now, e))
+	r.activate(newTarget(now, e))
 }
 
 func newTarget(now time.Time, e Entry) *Target {
 	return &Target{Entry: e, WarmAt: now.Add(e.Warmup)}
 }
 
-// use takes a target's entry for what the log says of it now.
-func (r *Registry) use(t *Target) {
-	delete(r.held, t.ID)
+// activate makes a target's entry the current one.
+func (r *Registry) activate(t *Target) {
+	delete(r.inGracePeriod, t.ID)
 	delete(r.removed, t.ID)
-	delete(r.doubted, t.ID)
+	delete(r.staleCandidates, t.ID)
 	r.entries[t.ID] = t
 	r.changed = true
 }
 
-// outdated tells whether something newer than the entry is known of its target.
+// outdated reports whether a newer state of the entry's target is recorded.
 func (r *Registry) outdated(e *Entry) bool {
 	if last, ok := r.removed[e.ID]; ok && last.outdates(e, r.next.Epoch) {
 		return true
 	}
 	old := r.entries[e.ID]
-	return old != nil && old.after(e.Born, e.Sequence)
+	return old != nil && old.newerThan(e.Born, e.Sequence)
 }
 
-// startsAgain tells whether the entry is that of a later process than the one known.
-func (r *Registry) startsAgain(e *Entry) bool {
+// isRestart reports whether the entry is of a later process than the recorded one.
+func (r *Registry) isRestart(e *Entry) bool {
 	if old := r.entries[e.ID]; old != nil {
 		return e.Born > old.Born
 	}
@@ -346,47 +348,48 @@
 	return ok && e.Born > last.born
 }
 
-// TakeRestarted returns the targets that have started again since the last call.
+// TakeRestarted returns the targets that have restarted since the last call.
 func (r *Registry) TakeRestarted() []fleet.TargetID {
 	ids := r.restarted
 	r.restarted = nil
 	return ids
 }
 
-// remove takes out an entry whose removal was first learned of at the given time.
+// remove deletes an entry and starts its grace period unless the target is leaving; since is when
+// the removal was first learned of.
 func (r *Registry) remove(now time.Time, id fleet.TargetID, since time.Time) {
-	delete(r.doubted, id)
+	delete(r.staleCandidates, id)
 	t := r.entries[id]
 	if t == nil {
 		return
 	}
 	delete(r.entries, id)
-	r.remember(now, t, since)
+	r.recordRemoval(now, t, since)
 	r.changed = true
 	if r.leaving(t) {
 		return
 	}
-	h := held{target: t, since: since}
-	r.held[id] = h
-	end, why := r.holdEnd(now, h)
-	r.holds = append(r.holds, Hold{Target: t, Age: now.Sub(since), For: end.Sub(now), Why: why})
+	h := vanishedTarget{target: t, firstLearnedAt: since}
+	r.inGracePeriod[id] = h
+	end, reason := r.gracePeriodEnd(now, h)
+	r.gracePeriods = append(r.gracePeriods, GracePeriod{Target: t, Age: now.Sub(since), Remaining: end.Sub(now), Reason: reason})
 }
 
-// remember notes that a target has gone, which was first learned of at the given time.
-func (r *Registry) remember(now time.Time, t *Target, since time.Time) {
-	if len(r.removed) >= sequenceMemory {
-		r.removed = make(map[fleet.TargetID]renewal)
+// recordRemoval records that a target was removed; since is when that was first learned of.
+func (r *Registry) recordRemoval(now time.Time, t *Target, since time.Time) {
+	if len(r.removed) >= maxRemovals {
+		r.removed = make(map[fleet.TargetID]removal)
 	}
-	r.removed[t.ID] = renewal{born: t.Born, sequence: t.Sequence, noticed: r.leaving(t), epoch: r.next.Epoch, at: now, since: since}
+	r.removed[t.ID] = removal{born: t.Born, sequence: t.Sequence, announced: r.leaving(t), epoch: r.next.Epoch, learnedAt: now, firstLearnedAt: since}
 }
 
-// Entries returns what the log holds, held entries left out.
+// Entries returns the entries in the log, without vanished ones in their grace period.
 func (r *Registry) Entries() []Entry {
-	entries := make([]Entry, 0, len(r.entries)+len(r.doubted))
+	entries := make([]Entry, 0, len(r.entries)+len(r.staleCandidates))
 	for _, t := range r.entries {
 		entries = append(entries, t.Entry)
 	}
-	for _, t := range r.doubted {
+	for _, t := range r.staleCandidates {
 		entries = append(entries, t.Entry)
 	}
 	return entries
@@ -408,7 +411,7 @@
 			v.add(t)
 		}
 	}
-	for _, h := range r.held {
+	for _, h := range r.inGracePeriod {
 		if !r.leaving(h.target) {
 			v.add(h.target)
 		}
@@ -417,7 +420,7 @@
 	return v
 }
 
-// leaving tells whether a target has announced that it leaves, by its entry or in an answer.
+// leaving reports whether a target has announced that it leaves, in its entry or in a response.
 func (r *Registry) leaving(t *Target) bool { return t.Leaving || r.departed(&t.Entry) }
 
 func (v *View) add(t *Target) {
--- a/registry/restore.go
+++ b/registry/restore.go
@@ -6,20 +6,21 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// Snapshot is a whole state of the log, as the log or a peer hands it over.
+// Snapshot is the complete state of the log, as read from the log or received from a peer.
 type Snapshot struct {
 	Next    Position
 	Entries []Entry
-	// Vanished are removals that the sender learned of lately, Removed targets of which
-	// older entries must not be taken. The log knows neither.
+	// Vanished are removals that the sender learned of recently, Removed targets of which older
+	// entries must be ignored. The log provides neither.
 	Vanished []Vanished
 	Removed  []Removed
-	// RestoreAge is how long ago the sender learned of the epoch; 0 if it is the log itself.
+	// RestoreAge is how long ago the sender learned of the epoch; 0 if the sender is the log
+	// itself.
 	RestoreAge time.Duration
 }
 
-// Removed tells peers of a target that has gone, so that an older copy of the log does not bring
-// it back.
+// Removed informs peers that a target was removed, so that an older copy of the log does not revive
+// it.
 type Removed struct {
 	_              struct{} `cbor:",toarray"`
 	ID             fleet.TargetID
@@ -28,44 +29,46 @@
 	Epoch          Epoch
 }
 
-// Restored is what a restore of the log from an older copy did to the targets.
+// Restored describes the effects on the targets when the log was restored from an older copy.
 type Restored struct {
 	From, To Position
-	// Kept is how many targets that the copy lacks are in use until Until, unless their
-	// entries are back by then. Outdated is how many entries of the copy were older than what
-	// was known.
+	// Kept is how many targets that the copy lacks stay in use until Until, unless their entries
+	// are available again by then. Outdated is how many entries of the copy were older than the
+	// recorded state.
 	Kept, Outdated int
 	Until          time.Time
 }
 
-// doubtFor is for how long after a restore an entry gets no work that the copy shows of a target
-// that had gone: a target that does not live loses it by then, for it has not renewed it for
-// three intervals, about a second each.
-const doubtFor = 8 * time.Second
+// staleCandidateTimeout is how long after a restore a stale candidate gets no work: by then
+// the log has dropped the entry of a dead target, which has missed three renewals, about a second
+// apart.
+const staleCandidateTimeout = 8 * time.Second
 
-// removedFor is for how long a removal is told to peers: longer than a copy of the log is old.
-const removedFor = time.Minute
+// removalRetention is how long a removal is announced to peers: longer than the age of any copy of
+// the log.
+const removalRetention = time.Minute
 
-// restore notes that the log was restored from an older copy.
-func (r *Registry) restore(now time.Time, from Position, s Snapshot) {
+// handleRestore records that the log was restored from an older copy.
+func (r *Registry) handleRestore(now time.Time, from Position, s Snapshot) {
 	r.restoredAt = now.Add(-s.RestoreAge)
-	r.restored = &Restored{From: from, To: s.Next, Until: r.restoredAt.Add(OutageHold)}
-	// What an earlier restore left on trust gets the whole time anew: its writers may have to
-	// write once more. What was removed has gone, whether or not the copy shows it.
-	for id, h := range r.held {
+	r.restored = &Restored{From: from, To: s.Next, Until: r.restoredAt.Add(OutageGracePeriod)}
+	// Targets that were kept unconfirmed after an earlier restore get the full grace period again,
+	// since they may have to register once more. Targets that the log removed do not, whether or
+	// not the copy shows them.
+	for id, h := range r.inGracePeriod {
 		if _, removed := r.removed[id]; removed {
 			continue
 		}
-		h.trusted = later(h.trusted, r.restored.Until)
-		r.held[id] = h
+		h.unconfirmedUntil = later(h.unconfirmedUntil, r.restored.Until)
+		r.inGracePeriod[id] = h
 		r.restored.Kept++
 	}
 }
 
-// trust keeps a target in use that the copy lacks: it has registered since, and writes its entry
-// again within about 2 s if it lives, as after an outage.
-func (r *Registry) trust(id fleet.TargetID) {
-	r.held[id] = held{target: r.entries[id], since: r.restoredAt, trusted: r.restored.Until}
+// keepUnconfirmed keeps a target in use that the copy lacks: it registered after the copy was made
+// and, if it is alive, registers again within about 2 s, as after an outage.
+func (r *Registry) keepUnconfirmed(id fleet.TargetID) {
+	r.inGracePeriod[id] = vanishedTarget{target: r.entries[id], firstLearnedAt: r.restoredAt, unconfirmedUntil: r.restored.Until}
 	delete(r.entries, id)
 	r.changed = true
 	r.restored.Kept++
@@ -77,14 +80,14 @@
 	}
 }
 
-// TakeRestored returns what a restore did since the last call, nil if there was none.
+// TakeRestored returns the effects of a restore since the last call, nil if there was none.
 func (r *Registry) TakeRestored() *Restored {
 	restored := r.restored
 	r.restored = nil
 	return restored
 }
 
-// RestoreAge is how long ago the fleet learned of the last restore; 0 if there was none.
+// RestoreAge returns how long ago the fleet learned of the last restore; 0 if there was none.
 func (r *Registry) RestoreAge(now time.Time) time.Duration {
 	if r.restoredAt.IsZero() {
 		return 0
@@ -92,92 +95,93 @@
 	return now.Sub(r.restoredAt)
 }
 
-// Removed returns the targets that went lately.
+// Removed returns the targets that were removed recently.
 func (r *Registry) Removed(now time.Time) []Removed {
 	var rs []Removed
-	for id, l := range r.removed {
-		if now.Sub(l.at) < removedFor {
-			rs = append(rs, Removed{ID: id, Born: l.born, Sequence: l.sequence, Noticed: l.noticed, Epoch: l.epoch})
+	for id, rm := range r.removed {
+		if now.Sub(rm.learnedAt) < removalRetention {
+			rs = append(rs, Removed{ID: id, Born: rm.born, Sequence: rm.sequence, Noticed: rm.announced, Epoch: rm.epoch})
 		}
 	}
 	return rs
 }
 
-// forget takes out targets of which a peer knows that they have gone, while the older copy still
-// shows them.
-func (r *Registry) forget(now time.Time, removed []Removed) {
+// applyRemoved deletes targets that a peer reports as removed while the older copy still shows
+// them.
+func (r *Registry) applyRemoved(now time.Time, removed []Removed) {
 	for _, x := range removed {
-		l := renewal{born: x.Born, sequence: x.Sequence, noticed: x.Noticed, epoch: x.Epoch, at: now}
+		rm := removal{born: x.Born, sequence: x.Sequence, announced: x.Noticed, epoch: x.Epoch, learnedAt: now}
 		if t := r.entries[x.ID]; t != nil {
-			doubted := l.doubts(&t.Entry, r.next.Epoch)
-			if !doubted && !l.outdates(&t.Entry, r.next.Epoch) {
+			stale := rm.mayBeStale(&t.Entry, r.next.Epoch)
+			if !stale && !rm.outdates(&t.Entry, r.next.Epoch) {
 				continue
 			}
 			delete(r.entries, x.ID)
 			r.changed = true
-			if doubted {
-				r.doubted[x.ID] = t
+			if stale {
+				r.staleCandidates[x.ID] = t
 			}
 		}
-		if _, known := r.removed[x.ID]; !known {
-			r.removed[x.ID] = l
+		if _, recorded := r.removed[x.ID]; !recorded {
+			r.removed[x.ID] = rm
 		}
 	}
 }
 
-// doubts tells whether an entry may be that of a target that had gone before the log was restored.
-func (r *Registry) doubts(e *Entry) bool {
-	l, ok := r.removed[e.ID]
-	return ok && l.doubts(e, r.next.Epoch)
+// mayBeStale reports whether an entry may be of a target that had vanished before the log was
+// restored.
+func (r *Registry) mayBeStale(e *Entry) bool {
+	rm, ok := r.removed[e.ID]
+	return ok && rm.mayBeStale(e, r.next.Epoch)
 }
 
-// endDoubts takes the entries for true that have outlived the copy.
-func (r *Registry) endDoubts(now time.Time) {
-	if len(r.doubted) == 0 || now.Sub(r.epochSince) < doubtFor {
+// admitStaleCandidates activates the entries that have outlived staleCandidateTimeout.
+func (r *Registry) admitStaleCandidates(now time.Time) {
+	if len(r.staleCandidates) == 0 || now.Sub(r.epochSince) < staleCandidateTimeout {
 		return
 	}
-	for _, t := range r.doubted {
-		r.use(t)
+	for _, t := range r.staleCandidates {
+		r.activate(t)
 	}
 }
 
-// Learn takes in what a peer knows of targets beside its position: what it had heard before the
-// log was restored. The peer may be at the same position, or in an earlier epoch. It tells
-// whether there was any news.
-func (r *Registry) Learn(now time.Time, s Snapshot) bool {
+// Merge applies the state of targets that a peer received before the log was restored. The peer may
+// be at the same position or in an earlier epoch; if it is ahead, the snapshot replaces the state.
+// Merge reports whether anything changed.
+func (r *Registry) Merge(now time.Time, s Snapshot) bool {
 	if s.Next.After(r.next) {
 		return r.Replace(now, s)
 	}
 	before := r.changed
 	r.changed = false
-	r.forget(now, s.Removed)
+	r.applyRemoved(now, s.Removed)
 	for i := range s.Entries {
-		r.learn(now, &s.Entries[i], s.Next.Epoch)
+		r.mergeEntry(now, &s.Entries[i], s.Next.Epoch)
 	}
-	news := r.changed
-	r.changed = before || news
-	return news
+	changed := r.changed
+	r.changed = before || changed
+	return changed
 }
 
-// learn takes in a peer's entry of the given epoch.
-func (r *Registry) learn(now time.Time, e *Entry, epoch Epoch) {
+// mergeEntry applies a peer's entry of the given epoch.
+func (r *Registry) mergeEntry(now time.Time, e *Entry, epoch Epoch) {
 	if own := r.entries[e.ID]; own != nil {
-		if e.after(own.Born, own.Sequence) {
+		if e.newerThan(own.Born, own.Sequence) {
 			r.put(now, *e)
 		}
 		return
 	}
-	if epoch == r.next.Epoch || r.outdated(e) || r.doubts(e) {
-		return // it was removed since
+	if epoch == r.next.Epoch || r.outdated(e) || r.mayBeStale(e) {
+		return // removed since
 	}
 	t := newTarget(now, *e)
 	if e.Leaving {
-		r.remember(now, t, now)
+		r.recordRemoval(now, t, now)
 		return
 	}
-	until := r.epochSince.Add(OutageHold)
-	if _, ok := r.held[e.ID]; !ok && now.Before(until) {
-		r.held[e.ID] = held{target: t, since: now, trusted: until}
+	until := r.epochSince.Add(OutageGracePeriod)
+	if _, ok := r.inGracePeriod[e.ID]; !ok && now.Before(until) {
+		r.inGracePeriod[e.ID] = vanishedTarget{target: t, firstLearnedAt: now, unconfirmedUntil: until}
 		r.changed = true
 	}
 }
--- a/statesync/departures.go
+++ b/statesync/departures.go
@@ -25,7 +25,7 @@
 	now := s.clock()
 	var news []registry.Departure
 	for _, d := range ds {
-		if !s.registry.Depart(now, d) {
+		if !s.registry.RecordDeparture(now, d) {
 			continue
 		}
 		news = append(news, d)
@@ -39,7 +39,7 @@
 func (s *State) DeparturesToTell(now time.Time) []registry.Departure {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.registry.DeparturesToTell(now)
+	return s.registry.DeparturesToAnnounce(now)
 }
 
 // Departures returns the processes that said in answers that they leave, as far as that was not lifted.
--- a/statesync/path_test.go
+++ b/statesync/path_test.go
@@ -236,7 +236,7 @@
 				gone := time.Now()
 				f.store.put(id, nil)
 				last, by := f.lastUse(gone, 3*time.Second, id)
-				assert.Assert(t, last <= registry.CalmHold+tickEvery+20*time.Millisecond, "%v after another change %s uses it for %v", pause, by, last)
+				assert.Assert(t, last <= registry.BaseGracePeriod+tickEvery+20*time.Millisecond, "%v after another change %s uses it for %v", pause, by, last)
 			}
 		})
 	})
--- a/statesync/peer.go
+++ b/statesync/peer.go
@@ -97,5 +97,5 @@
 	if err := cbor.Unmarshal(body, &w); err != nil {
 		return w, errors.WithStack(err)
 	}
-	return w, registry.SetStarts(w.entries(), w.Starts)
+	return w, registry.SetStartTimes(w.entries(), w.Starts)
 }
--- a/statesync/state.go
+++ b/statesync/state.go
@@ -62,7 +62,7 @@
 func (s *State) LeaveWithin(bound time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.registry.LeaveWithin(bound)
+	s.registry.SetRemovalBound(bound)
 }
 
 // Table returns the document in force, or nil if none is known yet.
@@ -283,7 +283,7 @@
 func (s *State) answered(span registry.Span) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.registry.Answered(span)
+	s.registry.RecordAnswered(span)
 }
 
 // lastAnswered is the latest time in which the store's log is known to have answered somebody.
@@ -304,14 +304,14 @@
 
 // take tells the registry whether the store's log answers anybody, and logs what changed.
 func (s *State) take(now time.Time, c contact) {
-	before := s.registry.Outage()
+	before := s.registry.LastOutage()
 	for _, span := range c.answered {
-		s.registry.Answered(span)
+		s.registry.RecordAnswered(span)
 	}
-	if s.registry.SetAway(c.away) {
+	if s.registry.SetUnavailable(c.away) {
 		eventlog.Info(eventlog.StoreAway, "away", c.away, "answered_ms", now.Sub(s.registry.LastAnswered().Until).Milliseconds())
 	}
-	after := s.registry.Outage()
+	after := s.registry.LastOutage()
 	if before.From.Equal(after.From) {
 		return
 	}
@@ -325,8 +325,8 @@
 
 // logHolds tells of targets that stay in use though their entries have vanished.
 func (s *State) logHolds(from string) {
-	for _, h := range s.registry.TakeHolds() {
-		eventlog.Info(eventlog.TargetHeld, "target", h.Target.ID, "service", h.Target.Service, "age_ms", h.Age.Milliseconds(), "hold_ms", h.For.Milliseconds(), "why", h.Why, "from", from)
+	for _, h := range s.registry.TakeGracePeriods() {
+		eventlog.Info(eventlog.TargetHeld, "target", h.Target.ID, "service", h.Target.Service, "age_ms", h.Age.Milliseconds(), "hold_ms", h.Remaining.Milliseconds(), "why", h.Reason, "from", from)
 	}
 }
 
--- a/statesync/whole.go
+++ b/statesync/whole.go
@@ -81,14 +81,14 @@
 	if !r.all && !next.After(r.registry) {
 		return w
 	}
-	changes, kept := s.registry.Since(r.registry)
+	changes, kept := s.registry.ChangesSince(r.registry)
 	if kept && !r.all {
-		w.Changes, w.Vanished = changes, s.registry.VanishedIn(now, changes)
+		w.Changes, w.Vanished = changes, s.registry.VanishedAmong(now, changes)
 	} else {
 		w.Entries, w.Vanished = s.registry.Entries(), s.registry.Vanished(now)
 		w.Removed = s.registry.Removed(now)
 	}
-	w.Starts = registry.Starts(w.entries())
+	w.Starts = registry.StartTimes(w.entries())
 	return w
 }
 
@@ -123,7 +123,7 @@
 // the version before does not know of epochs.
 func (s *State) catchUp(w Whole) bool {
 	if len(w.Changes) > 0 && w.Epoch == s.registry.Next().Epoch {
-		return s.registry.Catch(s.clock(), w.Changes, w.Vanished)
+		return s.registry.CatchUp(s.clock(), w.Changes, w.Vanished)
 	}
-	return s.registry.Learn(s.clock(), w.snapshot())
+	return s.registry.Merge(s.clock(), w.snapshot())
 }
