--- a/gateway/advice.go
+++ b/gateway/advice.go
@@ -73,7 +73,7 @@
 
 // refuseAdvice notes a field by which a target says something of itself, and that says nothing.
 func (g *Gateway) refuseAdvice(t exchange.Target, request, name string, fields []string) {
-	g.metrics.AdviceRefused(name)
+	g.metrics.CountAdviceRefused(name)
 	eventlog.Info(eventlog.AdviceRefused, "request", request, "target", t.ID, "field", name, "values", len(fields))
 }
 
--- a/gateway/advice_test.go
+++ b/gateway/advice_test.go
@@ -37,11 +37,11 @@
 		{"long", []string{strings.Repeat("1", 1<<12)}, false},
 	}
 	backends := soundBackends(t, len(cases))
-	_, g, _ := launch(t, 200*time.Millisecond, &storeOf{document: routes()}, backends...)
+	_, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, backends...)
 	waitReady(t, g)
 	for i, c := range cases {
 		id := fleet.TargetID(fmt.Sprint("t", i))
-		h := http.Header{names.Leaving: c.fields}
+		h := http.Header{headerNames.Leaving: c.fields}
 		g.heard(exchange.Target{ID: id}, "r", exchange.Head{Status: http.StatusOK, Header: h, Named: true})
 		assert.Equal(t, g.state.Targets().Target(id) == nil, c.want, c.name)
 	}
@@ -51,15 +51,15 @@
 func soundBackends(t *testing.T, n int) []*backend {
 	var backends []*backend
 	for range n {
-		backends = append(backends, newBackend(t, answer(http.StatusOK)))
+		backends = append(backends, newBackend(t, respondWith(http.StatusOK)))
 	}
 	return backends
 }
 
 // saysLeaving serves, and says that the target leaves.
 func saysLeaving(w http.ResponseWriter, r *http.Request) {
-	w.Header().Set(names.Leaving, "1")
-	answer(http.StatusOK)(w, r)
+	w.Header().Set(headerNames.Leaving, "1")
+	respondWith(http.StatusOK)(w, r)
 }
 
 // TestATargetThatSaysThatItLeavesIsNotChosenAgain: from its first answer on it gets nothing from the instance that got it, its
@@ -67,13 +67,13 @@
 func TestATargetThatSaysThatItLeavesIsNotChosenAgain(t *testing.T) {
 	leaver := newBackend(t, saysLeaving)
 	elsewhere := registry.Entry{ID: "other", Service: "other", Addr: freeAddr(t), Zone: "a", Slots: 1}
-	url, g, _ := launch(t, 200*time.Millisecond, &storeOf{document: routes(), entries: []registry.Entry{elsewhere}}, leaver)
+	url, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument(), entries: []registry.Entry{elsewhere}}, leaver)
 	waitReady(t, g)
-	status, body, _ := ask(context.Background(), t, http.MethodGet, url+"/get/a")
+	status, body, _ := sendRequest(context.Background(), t, http.MethodGet, url+"/get/a")
 	assert.Equal(t, status, http.StatusOK)
 	assert.Equal(t, body, "whole")
 	for range 3 {
-		status, _, took := ask(context.Background(), t, http.MethodGet, url+"/get/a")
+		status, _, took := sendRequest(context.Background(), t, http.MethodGet, url+"/get/a")
 		assert.Equal(t, status, http.StatusServiceUnavailable)
 		assert.Assert(t, took < 100*time.Millisecond, took)
 	}
@@ -83,8 +83,8 @@
 
 // TestNothingIsSentToATargetThatLeftSinceItWasChosen: another one gets the request, and it costs no retry budget.
 func TestNothingIsSentToATargetThatLeftSinceItWasChosen(t *testing.T) {
-	backends := []*backend{newBackend(t, answer(http.StatusOK)), newBackend(t, answer(http.StatusOK))}
-	url, g, _ := launch(t, 200*time.Millisecond, &storeOf{document: routes()}, backends...)
+	backends := []*backend{newBackend(t, respondWith(http.StatusOK)), newBackend(t, respondWith(http.StatusOK))}
+	url, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, backends...)
 	waitReady(t, g)
 	admits, left := g.client.Admit, make(chan exchange.Target, 1)
 	g.client.Admit = func(target exchange.Target) bool {
@@ -95,7 +95,7 @@
 		}
 		return admits(target)
 	}
-	status, _, _ := ask(context.Background(), t, http.MethodGet, url+"/get/a")
+	status, _, _ := sendRequest(context.Background(), t, http.MethodGet, url+"/get/a")
 	assert.Equal(t, status, http.StatusOK)
 	gone := <-left
 	for i, b := range backends {
@@ -128,7 +128,7 @@
 		{"very long", http.StatusServiceUnavailable, []string{"99999999999"}, true},
 	}
 	backends := soundBackends(t, len(cases))
-	_, g, _ := launch(t, 200*time.Millisecond, &storeOf{document: routes()}, backends...)
+	_, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, backends...)
 	waitReady(t, g)
 	for i, c := range cases {
 		target := at(g.state.Targets().Target(fleet.TargetID(fmt.Sprint("t", i))))
@@ -153,7 +153,7 @@
 	var backends []*backend
 	for _, after := range []string{"2", "1.2"} {
 		backends = append(backends, newBackend(t, func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set(names.NotRun, "1")
+			w.Header().Set(headerNames.NotRun, "1")
 			w.Header().Set(header.RetryAfter, after)
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}))
@@ -167,7 +167,7 @@
 		seconds, err := strconv.ParseFloat(r.Header.Get(header.RetryAfter), 64)
 		assert.NilError(t, err)
 		back := time.Duration(seconds * float64(time.Second))
-		assert.Assert(t, back > 1200*time.Millisecond-time.Since(began) && back < 1200*time.Millisecond*11/10+comeBack, back)
+		assert.Assert(t, back > 1200*time.Millisecond-time.Since(began) && back < 1200*time.Millisecond*11/10+minRetryAfter, back)
 	}
 	assert.Equal(t, totalRuns(backends...), 2)
 }
@@ -179,7 +179,7 @@
 	req, err := http.NewRequest(http.MethodGet, url, http.NoBody)
 	assert.NilError(t, err)
 	req.Host = "h"
-	req.Header.Set(names.RequestID, "r1")
+	req.Header.Set(headerNames.RequestID, "r1")
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	assert.NilError(t, err)
 	resp.Body.Close()
@@ -188,11 +188,11 @@
 
 // TestAnOperatorListsAndLiftsWhatTargetsSay: what was lifted no longer holds, and what the target says afterwards does.
 func TestAnOperatorListsAndLiftsWhatTargetsSay(t *testing.T) {
-	_, g, _ := launch(t, 200*time.Millisecond, &storeOf{document: routes()}, newBackend(t, answer(http.StatusOK)), newBackend(t, answer(http.StatusOK)))
+	_, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, newBackend(t, respondWith(http.StatusOK)), newBackend(t, respondWith(http.StatusOK)))
 	waitReady(t, g)
 	admin := "http://" + g.settings.ReadyListen
 	first, second := at(g.state.Targets().Target("t0")), at(g.state.Targets().Target("t1"))
-	leaving := exchange.Head{Status: http.StatusOK, Named: true, Header: http.Header{names.Leaving: {"1"}}}
+	leaving := exchange.Head{Status: http.StatusOK, Named: true, Header: http.Header{headerNames.Leaving: {"1"}}}
 	turnsAway := exchange.Head{Status: http.StatusServiceUnavailable, Header: http.Header{header.RetryAfter: {"9"}}}
 	g.heard(first, "r", leaving)
 	g.heard(second, "r", turnsAway)
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -16,96 +16,98 @@
 	"github.com/clementinereel/clementinereel/wait"
 )
 
-// outcomeKind tells how a request ended.
+// outcomeKind is how a request ended.
 type outcomeKind string
 
 const (
-	// answered: a target's whole answer is there.
-	answered outcomeKind = "answered"
-	// notRun: no target has run the request, and none will.
-	notRun outcomeKind = "not-run"
-	// unknown: a target may have run the request.
-	unknown outcomeKind = "unknown"
-	// late: the time ran out and a target may have run the request.
-	late outcomeKind = "late"
+	// outcomeAnswered means that a target sent a complete response.
+	outcomeAnswered outcomeKind = "answered"
+	// outcomeNotRun means that no target has run the request, and none will.
+	outcomeNotRun outcomeKind = "not-run"
+	// outcomeUnknown means that a target may have run the request.
+	outcomeUnknown outcomeKind = "unknown"
+	// outcomeTimedOut means that the deadline passed and a target may have run the request.
+	outcomeTimedOut outcomeKind = "late"
 )
 
-// noRequestsNow is why a request is refused of which all targets asked to be left alone.
-const noRequestsNow = "targets take no more requests now"
+// reasonNoRequestsNow is the reason of a refusal if no target accepts the request now
+// because of rates or backoffs.
+const reasonNoRequestsNow = "targets take no more requests now"
 
-// noAnswerInTime is why a request is late.
-const noAnswerInTime = "no answer in time"
+// reasonTimedOut is the reason of outcomeTimedOut.
+const reasonTimedOut = "no answer in time"
 
-// outcome is how all attempts together ended.
+// outcome is the combined result of all attempts of a request.
 type outcome struct {
 	kind     outcomeKind
-	answer   *exchange.Answer
+	response *exchange.Answer
 	target   fleet.TargetID
 	attempts int
-	why      string
-	// comeBack is when a caller whose request was not run may come back; 0 if nothing is known.
-	comeBack time.Duration
+	reason   string
+	// retryAfter is the Retry-After of a request that was not run; 0 if there is no estimate.
+	retryAfter time.Duration
 }
 
-// Bounds of one request's attempts.
+// Limits of the attempts of one request.
 const (
-	// maxTries bounds the targets of one request, those included that refused it
-	// or were not reached: an instance may have lost the paths to most.
-	maxTries = 14
+	// maxTargets bounds the targets tried for one request. It includes those that refused
+	// it or were unreachable, as an instance may have lost its paths to most targets.
+	maxTargets = 14
 	// maxRefusals bounds the targets that refuse one request.
 	maxRefusals = 4
-	// leastTime is the time below which no further attempt is begun.
-	leastTime = 60 * time.Millisecond
-	// placeWithin bounds the search for a target whose rate allows a request: holders that are asked
-	// answer within some milliseconds each.
-	placeWithin = 60 * time.Millisecond
-	// hedgeUtilization is the use of a service's slots above which a second
-	// attempt would take them from first ones.
-	hedgeUtilization = 0.55
+	// minAttemptTime is the remaining time below which no retry is started.
+	minAttemptTime = 60 * time.Millisecond
+	// placementTimeout bounds the search for a target whose rate allows a request. Each
+	// rate holder that is queried responds within a few milliseconds.
+	placementTimeout = 60 * time.Millisecond
+	// maxHedgeUtilization is the utilization of a service's slots above which hedges
+	// would take slots from first attempts.
+	maxHedgeUtilization = 0.55
 )
 
-// race is the attempts of one request.
-type race struct {
+// attemptGroup runs the attempts of one request.
+type attemptGroup struct {
 	c       *call
 	ctx     context.Context
-	results chan ended
+	results chan attemptResult
 	tried   []fleet.TargetID
-	open    []opened
+	pending []pendingAttempt
 	running int
-	// sent counts the attempts that may have run, refused those that did not.
+	// sent counts the finished attempts that may have run, refused those that targets refused.
 	sent, refused int
-	// fallback is the best outcome so far, for when no attempt succeeds.
+	// fallback is the best outcome so far. It is returned if no attempt succeeds.
 	fallback outcome
 	hedged   bool
 }
 
-// opened is an attempt that was begun.
-type opened struct {
-	placed Placed
-	at     time.Time
+// pendingAttempt is an attempt that has not ended yet.
+type pendingAttempt struct {
+	placed    Placed
+	startedAt time.Time
 }
 
-// ended is the end of one attempt.
-type ended struct {
+// attemptResult is the result of one attempt.
+type attemptResult struct {
 	placed Placed
 	result exchange.Result
 }
 
-// attempts runs the request's attempts and returns how they ended.
-func (c *call) attempts() outcome {
-	ctx, cancel, untie := c.context()
-	r := &race{c: c, ctx: ctx, results: make(chan ended, maxTries), fallback: outcome{kind: notRun, why: "no target is known"}}
-	defer r.end(cancel)
-	defer untie()
-	if !r.begin() {
+// runAttempts runs the attempts of the request and returns their outcome.
+func (c *call) runAttempts() outcome {
+	ctx, cancel, detach := c.attemptContext()
+	r := &attemptGroup{c: c, ctx: ctx, results: make(chan attemptResult, maxTargets), fallback: outcome{kind: outcomeNotRun, reason: "no target is known"}}
+	defer r.drain(cancel)
+	defer detach()
+	if !r.startAttempt() {
 		return r.fallback
 	}
 	return r.run()
 }
 
-// end lets attempts that still run end by themselves: breaking them off would
-// waste the target's work. If the caller has left, their context has ended already.
-func (r *race) end(cancel context.CancelFunc) {
+// drain waits in the background for the attempts that still run, as canceling them would
+// waste the work of their targets, and records their results. If the caller has
+// disconnected from a repeatable request, their context is already canceled.
+func (r *attemptGroup) drain(cancel context.CancelFunc) {
 	if r.running == 0 {
 		cancel()
 		return
@@ -120,9 +122,9 @@
 	}()
 }
 
-func (r *race) run() outcome {
-	known := r.c.h.Knowledge.Durations(r.c.service)
-	hedge := time.NewTimer(known.hedgeAfter(r.c.route.Objective))
+func (r *attemptGroup) run() outcome {
+	durations := r.c.h.Knowledge.Durations(r.c.service)
+	hedge := time.NewTimer(durations.hedgeDelay(r.c.route.Objective))
 	defer hedge.Stop()
 	end := time.NewTimer(time.Until(r.c.deadline))
 	defer end.Stop()
@@ -130,87 +132,89 @@
 		select {
 		case e := <-r.results:
 			r.running--
-			r.open = slices.DeleteFunc(r.open, func(o opened) bool { return o.placed.ID == e.placed.ID })
+			r.pending = slices.DeleteFunc(r.pending, func(o pendingAttempt) bool { return o.placed.ID == e.placed.ID })
 			r.c.learn(e)
-			if o, done := r.settle(e); done {
+			if o, done := r.handleResult(e); done {
 				return o
 			}
 		case <-hedge.C:
-			r.hedge(known.median)
+			r.hedge(durations.median)
 		case <-end.C:
-			return r.overdue()
+			return r.timeOut()
 		case <-r.ctx.Done():
-			return outcome{kind: unknown, why: "the caller left"}
+			return outcome{kind: outcomeUnknown, reason: "the caller left"}
 		}
 	}
 }
 
-// hedgeAfter is the age at which an attempt is joined by a second one: early enough
-// that the second still ends within the objective, but not while many attempts are
-// still at work.
-func (b bounds) hedgeAfter(objective time.Duration) time.Duration {
-	const spare = 1.3 // the second attempt's duration, in medians
+// hedgeDelay returns the age of an attempt at which a hedge is started: early enough for
+// the hedge to end within the objective, but not before most attempts have ended.
+func (b bounds) hedgeDelay(objective time.Duration) time.Duration {
+	const spare = 1.3 // time reserved for the hedge, in medians
 	if objective <= 0 {
 		return b.slow
 	}
 	return max(min(b.slow, objective-time.Duration(spare*float64(b.median))), b.usual)
 }
 
-func (r *race) overdue() outcome {
-	for _, o := range r.open {
+func (r *attemptGroup) timeOut() outcome {
+	for _, o := range r.pending {
 		eventlog.Info(eventlog.AttemptOpen, "request", r.c.id, "route", r.c.route.Name, "service", r.c.service, "target", o.placed.ID,
-			"addr", o.placed.Addr, "age_ms", time.Since(o.at).Milliseconds(), "fails", eventlog.Share(o.placed.Fails), "in_flight", o.placed.InFlight, "slots", o.placed.Slots, "class", r.c.route.Class)
+			"addr", o.placed.Addr, "age_ms", time.Since(o.startedAt).Milliseconds(), "fails", eventlog.Share(o.placed.Fails), "in_flight", o.placed.InFlight, "slots", o.placed.Slots, "class", r.c.route.Class)
 	}
-	if r.fallback.answer != nil {
+	if r.fallback.response != nil {
 		return r.fallback
 	}
-	return outcome{kind: late, why: noAnswerInTime, attempts: len(r.tried)}
+	return outcome{kind: outcomeTimedOut, reason: reasonTimedOut, attempts: len(r.tried)}
 }
 
-// settle takes in an attempt's end. It returns the outcome if that is final.
-func (r *race) settle(e ended) (outcome, bool) {
+// handleResult handles the result of an attempt. It returns the outcome of the request and
+// true if that is final.
+func (r *attemptGroup) handleResult(e attemptResult) (outcome, bool) {
 	o := r.classify(e)
-	if o.answer != nil && o.answer.Status < http.StatusInternalServerError {
+	if o.response != nil && o.response.Status < http.StatusInternalServerError {
 		return o, true
 	}
-	r.keep(o)
-	r.log(e, o)
-	if r.running > 0 || r.again(e) {
+	r.updateFallback(o)
+	r.logFailure(e, o)
+	if r.running > 0 || r.retry(e) {
 		return outcome{}, false
 	}
 	return r.fallback, true
 }
 
-// classify says what an attempt's end alone would make of the request, and counts it.
-func (r *race) classify(e ended) outcome {
+// classify returns the outcome that the attempt alone would give the request, and counts
+// the attempt.
+func (r *attemptGroup) classify(e attemptResult) outcome {
 	o := outcome{target: e.placed.ID, attempts: len(r.tried)}
 	switch e.result.Kind {
 	case exchange.Answered:
 		r.sent++
-		o.kind, o.why = unknown, "the target's answer bears no proof"
-		if passable(e.result.Answer) {
-			o.kind, o.answer, o.why = answered, e.result.Answer, ""
+		o.kind, o.reason = outcomeUnknown, "the target's answer bears no proof"
+		if forwardable(e.result.Answer) {
+			o.kind, o.response, o.reason = outcomeAnswered, e.result.Answer, ""
 		}
 	case exchange.Refused:
 		r.refused++
-		o.kind, o.why = notRun, "targets refused it"
+		o.kind, o.reason = outcomeNotRun, "targets refused it"
 	case exchange.Unsent:
-		o.kind, o.why = notRun, "targets were out of reach"
+		o.kind, o.reason = outcomeNotRun, "targets were out of reach"
 	case exchange.Withheld:
-		o.kind, o.why = notRun, "targets take no more requests"
+		o.kind, o.reason = outcomeNotRun, "targets take no more requests"
 	case exchange.Overdue:
 		r.sent++
-		o.kind, o.why = late, noAnswerInTime
+		o.kind, o.reason = outcomeTimedOut, reasonTimedOut
 	default:
 		r.sent++
-		o.kind, o.why = unknown, "the answer was lost"
+		o.kind, o.reason = outcomeUnknown, "the answer was lost"
 	}
 	return o
 }
 
-// passable tells whether the answer may reach the caller as it is: a success
-// needs its seal, and a status that promises that nothing ran needs its proof.
-func passable(a *exchange.Answer) bool {
+// forwardable reports whether a response may be forwarded unchanged. A success must be
+// sealed. A status that implies that the request was not run is not forwarded: a target
+// that proves this yields exchange.Refused instead.
+func forwardable(a *exchange.Answer) bool {
 	switch a.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return false
@@ -218,99 +222,104 @@
 	return a.Sealed || a.Status/100 != 2
 }
 
-// keep remembers the outcome that tells the caller most truthfully what is known:
-// an answer before a doubt, and a doubt before a refusal.
-func (r *race) keep(o outcome) {
-	rank := map[outcomeKind]int{notRun: 1, unknown: 2, late: 2, answered: 3}
+// updateFallback keeps the outcome that describes the request best: a response before an
+// unknown outcome, and that before a refusal.
+func (r *attemptGroup) updateFallback(o outcome) {
+	rank := map[outcomeKind]int{outcomeNotRun: 1, outcomeUnknown: 2, outcomeTimedOut: 2, outcomeAnswered: 3}
 	if rank[o.kind] >= rank[r.fallback.kind] {
 		r.fallback = o
 	}
 }
 
-// again begins a further attempt after one that failed, if that is allowed.
-func (r *race) again(e ended) bool {
-	unrun := e.result.Kind.Unrun()
-	why := ""
+// retry starts another attempt after a failed one, if that is allowed.
+func (r *attemptGroup) retry(e attemptResult) bool {
+	notRun := e.result.Kind.Unrun()
+	reason := ""
 	switch {
 	case r.c.r.Context().Err() != nil:
-		why = "the caller left"
-	case !unrun && !r.c.repeatable():
-		why = "must not run twice"
+		reason = "the caller left"
+	case !notRun && !r.c.repeatable():
+		reason = "must not run twice"
 	case r.sent >= r.c.route.MaxAttempts:
-		why = "route's attempts are used up"
-	case r.refused >= maxRefusals || len(r.tried) >= maxTries:
-		why = "too many targets tried"
-	case time.Until(r.c.deadline) < leastTime || time.Until(r.c.targetDeadline) < leastTime:
-		why = "no time left"
+		reason = "route's attempts are used up"
+	case r.refused >= maxRefusals || len(r.tried) >= maxTargets:
+		reason = "too many targets tried"
+	case time.Until(r.c.deadline) < minAttemptTime || time.Until(r.c.targetDeadline) < minAttemptTime:
+		reason = "no time left"
 	case r.sent > 0 && r.c.standing() >= quarantine.Restricted:
-		why = "its content may crash targets"
-	case !unrun && r.c.atFault():
-		why = "it fails at each target"
-	case e.result.Kind.MayHaveArrived() && !r.spend("again"):
+		reason = "its content may crash targets"
+	case !notRun && r.c.atFault():
+		reason = "it fails at each target"
+	case e.result.Kind.MayHaveArrived() && !r.spendBudget("again"):
 		return false
 	}
-	if why == "" && r.begin() {
+	if reason == "" && r.startAttempt() {
 		return true
 	}
-	if why == "" {
-		why = "no other target"
+	if reason == "" {
+		reason = "no other target"
 	}
-	eventlog.Info(eventlog.AttemptRefused, "request", r.c.id, "service", r.c.service, "why", why, "attempts", len(r.tried))
+	eventlog.Info(eventlog.AttemptRefused, "request", r.c.id, "service", r.c.service, "why", reason, "attempts", len(r.tried))
 	return false
 }
 
-// hedge begins a further attempt beside one that is slow.
-func (r *race) hedge(median time.Duration) {
+// hedge starts another attempt beside a slow one, if that is allowed.
+func (r *attemptGroup) hedge(median time.Duration) {
 	if r.c.r.Context().Err() != nil || r.hedged || r.running != 1 || !r.c.repeatable() || r.sent+r.running >= r.c.route.MaxAttempts {
 		return
 	}
 	targets := r.c.h.State.Targets().Services[r.c.service]
 	slots := func(t *registry.Target) float64 { return r.c.h.Rates.slots(t, median) }
-	if time.Until(r.c.targetDeadline) < median/2 || r.c.h.Knowledge.Utilization(time.Now(), targets, slots) > hedgeUtilization {
+	if time.Until(r.c.targetDeadline) < median/2 || r.c.h.Knowledge.Utilization(time.Now(), targets, slots) > maxHedgeUtilization {
 		return
 	}
 	r.hedged = true
 	if r.c.standing() >= quarantine.Suspected || r.c.atFault() {
 		return
 	}
-	if r.spend("hedge") {
-		r.begin()
+	if r.spendBudget("hedge") {
+		r.startAttempt()
 	}
 }
 
-// spend takes a further attempt out of the budget.
-func (r *race) spend(why string) bool {
-	left, ok := r.c.h.Knowledge.Spend(time.Now(), r.c.service, r.c.urgent())
-	if !ok && r.borrow() {
-		left, ok = r.c.h.Knowledge.Spend(time.Now(), r.c.service, r.c.urgent())
+// spendBudget takes another attempt from the retry budget, with a loan if necessary. It
+// returns false if the budget does not allow the attempt.
+func (r *attemptGroup) spendBudget(reason string) bool {
+	left, ok := r.c.h.Knowledge.SpendBudget(time.Now(), r.c.service, r.c.urgent())
+	if !ok && r.borrowBudget() {
+		left, ok = r.c.h.Knowledge.SpendBudget(time.Now(), r.c.service, r.c.urgent())
 	}
 	event := eventlog.AttemptAdded
 	if !ok {
 		event = eventlog.AttemptRefused
 		r.c.h.Metrics.BudgetRefused.Inc(1)
 	}
-	eventlog.Info(event, "request", r.c.id, "service", r.c.service, "why", why, "budget_left", eventlog.Share(left), "attempts", len(r.tried))
+	eventlog.Info(event, "request", r.c.id, "service", r.c.service, "why", reason, "budget_left", eventlog.Share(left), "attempts", len(r.tried))
 	return ok
 }
 
-// borrow asks neighbours for a loan and waits for it, unless they were asked a moment ago.
-func (r *race) borrow() bool {
-	asks := r.c.h.Knowledge.Short(time.Now(), r.c.service)
-	if asks == nil {
+// borrowBudget requests loans from neighbours and waits for them, unless the last request
+// was less than loanRequestInterval ago.
+func (r *attemptGroup) borrowBudget() bool {
+	requests := r.c.h.Knowledge.LoanRequests(time.Now(), r.c.service)
+	if requests == nil {
 		return false
 	}
-	r.c.h.AskForLoans(asks, lenders)
-	return wait.For(r.ctx, loanWait)
+	r.c.h.RequestLoans(requests, loanPeers)
+	return wait.For(r.ctx, loanTimeout)
 }
 
-// urgentPriority is the rank up to which a route may use the whole budget.
-const urgentPriority = 1
+// maxUrgentPriority is the largest Priority of a route whose requests are urgent; 0 is the
+// most urgent.
+const maxUrgentPriority = 1
 
-// urgent tells whether less urgent requests of the service leave it a part of the budget.
-func (c *call) urgent() bool { return c.route.Priority <= urgentPriority }
+// urgent reports whether the request may use the part of the service's retry budget that
+// is reserved for urgent requests.
+func (c *call) urgent() bool { return c.route.Priority <= maxUrgentPriority }
 
-// begin starts an attempt at the target that is expected to cost least.
-func (r *race) begin() bool {
+// startAttempt starts an attempt at the target with the lowest expected cost. It returns
+// false if there is no target.
+func (r *attemptGroup) startAttempt() bool {
 	c := r.c
 	now := time.Now()
 	targets := c.h.State.Targets().Services[c.service]
@@ -321,18 +330,18 @@
 		return false
 	}
 	r.tried = append(r.tried, p.ID)
-	r.open = append(r.open, opened{p, now})
+	r.pending = append(r.pending, pendingAttempt{p, now})
 	r.running++
-	c.tellLoad(p)
-	go r.attempt(p)
+	c.sendLoad(p)
+	go r.send(p)
 	return true
 }
 
-// place chooses a target whose rate, if it names one, allows the request.
-func (r *race) place(now time.Time, targets []*registry.Target, w placement.Work) (Placed, bool) {
+// place chooses a target whose rate limit, if it has announced one, allows the request.
+func (r *attemptGroup) place(now time.Time, targets []*registry.Target, w placement.Work) (Placed, bool) {
 	c := r.c
 	withheld := c.h.Rates.withheld(now, targets)
-	for time.Since(now) <= placeWithin {
+	for time.Since(now) <= placementTimeout {
 		p, ok := c.h.Knowledge.Place(now, c.service, targets, r.tried, withheld, w, c.h.Client.Cache.Idle)
 		if !ok {
 			break
@@ -343,52 +352,53 @@
 		c.h.Knowledge.Withdraw(p)
 		withheld = append(withheld, p.ID)
 	}
-	r.noteWithheld(now, targets, len(withheld))
+	r.explainNoTarget(now, targets, len(withheld))
 	return Placed{}, false
 }
 
-// noteWithheld says why there is no target, if all that there are take no requests now: by their rates, of
-// which n withheld one, or since this instance backs off from them.
-func (r *race) noteWithheld(now time.Time, targets []*registry.Target, n int) {
-	if r.fallback.kind != notRun {
+// explainNoTarget sets the reason and the Retry-After of the fallback if no target takes
+// requests now, either because this instance backs off from all of them or because the
+// rates of n targets did not allow the request.
+func (r *attemptGroup) explainNoTarget(now time.Time, targets []*registry.Target, n int) {
+	if r.fallback.kind != outcomeNotRun {
 		return
 	}
-	if first := r.c.h.Knowledge.firstBack(now, targets); first > 0 {
-		r.fallback.why = noRequestsNow
-		r.fallback.comeBack = min(first, comeBackMost) + rand.N(comeBack)
+	if backoff := r.c.h.Knowledge.firstBack(now, targets); backoff > 0 {
+		r.fallback.reason = reasonNoRequestsNow
+		r.fallback.retryAfter = min(backoff, comeBackMost) + rand.N(minRetryAfter)
 		return
 	}
 	if n > 0 && len(r.tried) == 0 {
-		r.fallback.why = noRequestsNow
-		r.fallback.comeBack = r.c.h.Rates.comeBackAfter(now, r.c.service, targets)
+		r.fallback.reason = reasonNoRequestsNow
+		r.fallback.retryAfter = r.c.h.Rates.comeBackAfter(now, r.c.service, targets)
 	}
 }
 
-// tellLoad tells those that may choose the target too what this instance has in flight
-// there.
-func (c *call) tellLoad(p Placed) {
+// sendLoad sends this instance's number of requests in flight at the target to the instances
+// that may also choose the target.
+func (c *call) sendLoad(p Placed) {
 	k := c.h.Knowledge
-	c.h.TellLoad(k.InFlight(p.ID), func(addr string) bool { return k.Concerns(addr, &p) })
+	c.h.SendLoad(k.InFlight(p.ID), func(addr string) bool { return k.Concerns(addr, &p) })
 }
 
-// attempt sends the request to one target.
-func (r *race) attempt(p Placed) {
+// send sends the request to one target and delivers the result to r.results.
+func (r *attemptGroup) send(p Placed) {
 	c := r.c
 	slow := time.Duration(float64(c.h.Knowledge.Durations(c.service).slow) * p.turns())
-	began := time.Now()
-	watch := time.AfterFunc(slow, func() { c.observeSlow(p, began) })
+	start := time.Now()
+	slowTimer := time.AfterFunc(slow, func() { c.observeSlow(p, start) })
 	res := c.h.Client.Do(r.ctx, at(p.Target), c.request, c.targetDeadline, c.deadline, p.MaxIdle)
-	watch.Stop()
+	slowTimer.Stop()
 	if res.Kind == exchange.Withheld {
 		c.h.Knowledge.Withdraw(p)
 	} else {
 		c.h.Knowledge.Ended(p)
 	}
-	r.results <- ended{p, res}
+	r.results <- attemptResult{p, res}
 }
 
-// log writes the line of an attempt that brought no answer to pass on.
-func (r *race) log(e ended, o outcome) {
+// logFailure logs an attempt that did not yield a response to forward.
+func (r *attemptGroup) logFailure(e attemptResult, o outcome) {
 	status := 0
 	if e.result.Answer != nil {
 		status = e.result.Answer.Status
--- a/gateway/attempt_test.go
+++ b/gateway/attempt_test.go
@@ -12,20 +12,20 @@
 	"github.com/clementinereel/clementinereel/registry"
 )
 
-// The connection's deadline and the request's own timer end at the same moment;
-// whichever is first, the time ran out.
-func TestAnOverdueAttemptIsLate(t *testing.T) {
+// The connection's deadline and the request's timer expire at the same time. The request
+// must count as timed out whichever fires first.
+func TestOverdueAttemptTimesOut(t *testing.T) {
 	c := &call{
 		h:     &Handler{},
 		r:     httptest.NewRequest("POST", "/buy/1", nil),
 		route: &document.Entry{Route: &document.Route{Class: fleet.Confirmation, MaxAttempts: 2}},
 	}
 	for kind, want := range map[exchange.Kind]outcomeKind{
-		exchange.Overdue: late, exchange.Broken: unknown, exchange.Unsent: notRun,
+		exchange.Overdue: outcomeTimedOut, exchange.Broken: outcomeUnknown, exchange.Unsent: outcomeNotRun,
 	} {
-		r := &race{c: c, fallback: outcome{kind: notRun}}
-		e := ended{placed: Placed{Target: &registry.Target{}}, result: exchange.Result{Kind: kind}}
-		r.keep(r.classify(e))
+		r := &attemptGroup{c: c, fallback: outcome{kind: outcomeNotRun}}
+		e := attemptResult{placed: Placed{Target: &registry.Target{}}, result: exchange.Result{Kind: kind}}
+		r.updateFallback(r.classify(e))
 		assert.Equal(t, r.fallback.kind, want, kind)
 	}
 }
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -84,7 +84,7 @@
 // request is a lookup at any instance.
 func (z *backoffRun) request(now time.Time) {
 	in := z.instances[z.rng.IntN(len(z.instances))]
-	in.k.Request(now, "s", true)
+	in.k.RecordRequest(now, "s", true)
 	if now.After(start.Add(turnsAwayAfter)) {
 		z.asked++
 	}
@@ -126,19 +126,19 @@
 
 // again tries another target, if the retry budget allows that, or a loan of neighbours does.
 func (z *backoffRun) again(in *zoneInstance, asked, now time.Time, tried []fleet.TargetID) {
-	if _, ok := in.k.Spend(now, "s", true); ok {
+	if _, ok := in.k.SpendBudget(now, "s", true); ok {
 		z.attempt(in, asked, now, tried)
 		return
 	}
-	asks := in.k.Short(now, "s")
-	for _, i := range z.rng.Perm(len(z.instances))[:lenders] {
+	asks := in.k.LoanRequests(now, "s")
+	for _, i := range z.rng.Perm(len(z.instances))[:loanPeers] {
 		if other := z.instances[i]; other != in && asks != nil {
 			loans := other.k.Lend(now, in.addr, asks)
 			in.k.Take(now, &mesh.Packet{Addr: other.addr, Zone: "a", Boot: other.boot, Loans: loans})
 		}
 	}
-	z.at(now.Add(loanWait), func(now time.Time) {
-		if _, ok := in.k.Spend(now, "s", true); ok {
+	z.at(now.Add(loanTimeout), func(now time.Time) {
+		if _, ok := in.k.SpendBudget(now, "s", true); ok {
 			z.attempt(in, asked, now, tried)
 		}
 	})
--- a/gateway/bodies.go
+++ b/gateway/bodies.go
@@ -10,39 +10,40 @@
 
 var (
 	errBodyTooLarge = errors.New("body too large")
-	errBodiesFull   = errors.New("bodies held exceed the bound")
+	errBodiesFull   = errors.New("request bodies in memory exceed the limit")
 )
 
-// Bodies bounds the bytes of request bodies that the process holds.
+// Bodies bounds the memory that the process uses for request bodies.
 type Bodies struct {
-	Bound int64
-	held  atomic.Int64
+	MaxBytes  int64
+	heldBytes atomic.Int64
 }
 
-// chunk is by how much the room for a body of unknown length grows, in bytes.
-const chunk = 64 << 10
+// chunkBytes is the size by which the reservation for a body of unknown length grows.
+const chunkBytes = 64 << 10
 
-// Read reads a whole body. The caller releases its length afterwards.
-func (b *Bodies) Read(r io.Reader, announced, most int64) ([]byte, error) {
-	if announced > 0 {
-		return b.readExactly(r, announced)
+// Read reads a whole body and reserves memory for it, which the caller must release. The
+// content length is not positive if it is unknown; only then is maxBytes enforced.
+func (b *Bodies) Read(r io.Reader, contentLength, maxBytes int64) ([]byte, error) {
+	if contentLength > 0 {
+		return b.readExactly(r, contentLength)
 	}
 	var buf bytes.Buffer
 	reserved := int64(0)
 	for {
-		if !b.reserve(chunk) {
+		if !b.reserve(chunkBytes) {
 			b.Release(reserved)
 			return nil, errBodiesFull
 		}
-		reserved += chunk
-		n, err := io.CopyN(&buf, r, chunk)
+		reserved += chunkBytes
+		n, err := io.CopyN(&buf, r, chunkBytes)
 		switch {
-		case int64(buf.Len()) > most:
+		case int64(buf.Len()) > maxBytes:
 			err = errBodyTooLarge
 		case errors.Is(err, io.EOF):
 			b.Release(reserved - int64(buf.Len()))
 			return buf.Bytes(), nil
-		case err == nil && n == chunk:
+		case err == nil && n == chunkBytes:
 			continue
 		}
 		b.Release(reserved)
@@ -63,12 +64,12 @@
 }
 
 func (b *Bodies) reserve(n int64) bool {
-	if b.held.Add(n) > b.Bound {
-		b.held.Add(-n)
+	if b.heldBytes.Add(n) > b.MaxBytes {
+		b.heldBytes.Add(-n)
 		return false
 	}
 	return true
 }
 
-// Release gives back the room of a body.
-func (b *Bodies) Release(n int64) { b.held.Add(-n) }
+// Release releases n reserved bytes.
+func (b *Bodies) Release(n int64) { b.heldBytes.Add(-n) }
--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -9,25 +9,26 @@
 )
 
 const (
-	// lenders is how many neighbours are asked for a loan. Each lends half of what it has
-	// at most, so that three together have an attempt where buckets hold one or less.
-	lenders = 3
-	// askEvery is the least time between askings for one service: where a whole service
-	// fails nobody has anything to lend.
-	askEvery = 200 * time.Millisecond
-	// loanWait is how long a request waits for a loan; a neighbour answers within 1 to 2 ms.
-	loanWait = 8 * time.Millisecond
+	// loanPeers is the number of neighbours that receive a loan request. Each lends at most
+	// half of its budget, so three together can lend an attempt if each has one or less.
+	loanPeers = 3
+	// loanRequestInterval is the minimum time between loan requests for one service: if a
+	// whole service fails, no instance has budget to lend.
+	loanRequestInterval = 200 * time.Millisecond
+	// loanTimeout is how long a request waits for a loan. A neighbour responds within 1 to 2 ms.
+	loanTimeout = 8 * time.Millisecond
 )
 
-// Request records a request for a service, for its retry budget.
-func (k *Knowledge) Request(now time.Time, name document.ServiceName, urgent bool) {
+// RecordRequest adds a request to the service's retry budget.
+func (k *Knowledge) RecordRequest(now time.Time, name document.ServiceName, urgent bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.service(name).budget.RecordRequest(now, urgent)
 }
 
-// Spend takes an attempt out of the service's retry budget, if there is one.
-func (k *Knowledge) Spend(now time.Time, name document.ServiceName, urgent bool) (left float64, ok bool) {
+// SpendBudget takes an attempt from the service's retry budget. It returns what was left
+// before, in attempts, and false if the budget does not allow the attempt.
+func (k *Knowledge) SpendBudget(now time.Time, name document.ServiceName, urgent bool) (left float64, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	b, instances := k.service(name).budget, k.instances(now)
@@ -35,12 +36,13 @@
 	return left, b.Spend(now, instances, urgent)
 }
 
-// Short returns what others are to be asked for, nil if they were asked a moment ago.
-func (k *Knowledge) Short(now time.Time, name document.ServiceName) []mesh.Loan {
+// LoanRequests returns the loans to request from other instances, nil if the last request
+// was less than loanRequestInterval ago.
+func (k *Knowledge) LoanRequests(now time.Time, name document.ServiceName) []mesh.Loan {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s := k.service(name)
-	if now.Sub(s.askedAt) < askEvery {
+	if now.Sub(s.askedAt) < loanRequestInterval {
 		return nil
 	}
 	s.askedAt = now
@@ -48,23 +50,24 @@
 	return []mesh.Loan{{Service: name, Permille: permille}}
 }
 
-// Lend returns what this instance lends to one that asked.
-func (k *Knowledge) Lend(now time.Time, to string, asks []mesh.Loan) []mesh.Loan {
+// Lend returns the loans that this instance grants to a requester, and takes them from
+// its own budgets.
+func (k *Knowledge) Lend(now time.Time, to string, requests []mesh.Loan) []mesh.Loan {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var loans []mesh.Loan
-	for _, a := range asks {
-		lent := k.service(a.Service).budget.Lend(now, k.instances(now), float64(a.Permille)/permille)
+	for _, r := range requests {
+		lent := k.service(r.Service).budget.Lend(now, k.instances(now), float64(r.Permille)/permille)
 		if part := int(lent * permille); part > 0 {
-			loans = append(loans, mesh.Loan{Service: a.Service, Permille: part})
-			eventlog.Info(eventlog.BudgetLent, "service", a.Service, "to", to, "permille", part)
+			loans = append(loans, mesh.Loan{Service: r.Service, Permille: part})
+			eventlog.Info(eventlog.BudgetLent, "service", r.Service, "to", to, "permille", part)
 		}
 	}
 	return loans
 }
 
-// borrow takes in what another instance has lent.
-func (k *Knowledge) borrow(now time.Time, loans []mesh.Loan) {
+// applyLoans adds the loans of another instance to the budgets. The lock is held.
+func (k *Knowledge) applyLoans(now time.Time, loans []mesh.Loan) {
 	for _, l := range loans {
 		k.service(l.Service).budget.ReceiveLoan(now, float64(l.Permille)/permille)
 	}
--- a/gateway/census_test.go
+++ b/gateway/census_test.go
@@ -103,13 +103,13 @@
 
 func (f *restartedFleet) request(now time.Time, n int) {
 	k := f.all[f.rng.IntN(f.instances)]
-	k.Request(now, "s", true)
+	k.RecordRequest(now, "s", true)
 	f.requests[n]++
 	for range mostAdded {
 		if n < shedFrom || f.rng.Float64() >= shedShare {
 			return
 		}
-		if _, ok := k.Spend(now, "s", true); !ok {
+		if _, ok := k.SpendBudget(now, "s", true); !ok {
 			return
 		}
 		f.added[n]++
--- a/gateway/contents.go
+++ b/gateway/contents.go
@@ -33,7 +33,7 @@
 // crashes a target.
 func (c *call) onTrial() bool {
 	f := c.content.Fingerprint()
-	if !c.h.TriesHere(f) || !c.h.Contents.Trial(time.Now(), &c.content) {
+	if !c.h.RunsTrial(f) || !c.h.Contents.Trial(time.Now(), &c.content) {
 		return false
 	}
 	eventlog.Info(eventlog.ContentTried, "request", c.id, "content", f, "route", c.route.Name)
@@ -65,7 +65,7 @@
 }
 
 // learnContent takes in what an attempt's end says of the request's content and tells the others.
-func (c *call) learnContent(e ended, began time.Time) {
+func (c *call) learnContent(e attemptResult, began time.Time) {
 	now := time.Now()
 	process := quarantine.Process{Target: e.placed.ID, Born: e.placed.Born}
 	switch {
@@ -73,12 +73,12 @@
 		c.h.Contents.Answered(now, process, began)
 		if served(&e.result) {
 			if told, news := c.h.Contents.Served(now, &c.content); news {
-				c.h.TellContent(now, told)
+				c.h.SendContent(now, told)
 			}
 		}
 	case connectionLost(&e.result):
 		if told, news := c.h.Contents.Lost(now, &c.content, quarantine.Loss{Process: process, Began: began, Ended: now}); news {
-			c.h.TellContent(now, told)
+			c.h.SendContent(now, told)
 		}
 	}
 }
@@ -109,7 +109,7 @@
 	now := time.Now()
 	proof, until, _ := c.h.Contents.Proof(&c.content)
 	c.h.Metrics.ContentsRefused.Inc(1)
-	comeBackIn := max(until.Sub(now), comeBack).Round(time.Second)
+	comeBackIn := max(until.Sub(now), minRetryAfter).Round(time.Second)
 	return c.refuseFor(problem.Quarantined, "requests like this one crash the targets that run them", comeBackIn,
 		"content", c.content.Fingerprint(), "caller", c.caller(), "targets", targetsOf(proof), "proven_ms", provenFor(now, proof).Milliseconds())
 }
@@ -166,7 +166,7 @@
 // once that halves the datagrams.
 func (g *Gateway) tellContent(now time.Time, e quarantine.Evidence) {
 	if len(e.Losses) == 1 {
-		g.untold.add(e)
+		g.pendingEvidence.add(e)
 		return
 	}
 	g.tellContentNow(now, e)
@@ -176,7 +176,7 @@
 }
 
 func (g *Gateway) tellContentNow(now time.Time, e quarantine.Evidence) {
-	g.tell(mesh.Packet{Contents: []mesh.ContentEvidence{encodeContent(now, &e)}})
+	g.sendUpdate(mesh.Packet{Contents: []mesh.ContentEvidence{encodeContent(now, &e)}})
 }
 
 // tellKept tells the others at once of a content that the store kept, and again soon.
@@ -203,7 +203,7 @@
 
 // fillUntold adds evidence that waits to news.
 func (g *Gateway) fillUntold(now time.Time, p *mesh.Packet) {
-	for _, e := range g.untold.take() {
+	for _, e := range g.pendingEvidence.take() {
 		p.Contents = append(p.Contents, encodeContent(now, &e))
 	}
 }
--- a/gateway/contents_test.go
+++ b/gateway/contents_test.go
@@ -26,7 +26,7 @@
 	if strings.HasSuffix(r.URL.Path, "/deadly") {
 		panic(http.ErrAbortHandler)
 	}
-	answer(http.StatusOK)(w, r)
+	respondWith(http.StatusOK)(w, r)
 }
 
 // lossesAt are losses at processes of one target, each after the one before; the last
@@ -53,7 +53,7 @@
 func toldOf(g *Gateway, c *quarantine.Content, count int, ago time.Duration) {
 	now := time.Now()
 	e := quarantine.Evidence{Content: c.Fingerprint(), Losses: lossesAt(now, fleet.TargetID(c.URI), ago, count)}
-	g.take(now, &mesh.Packet{Addr: "127.0.0.9:1", Zone: "a", Boot: 1, Contents: []mesh.ContentEvidence{encodeContent(now, &e)}})
+	g.handlePacket(now, &mesh.Packet{Addr: "127.0.0.9:1", Zone: "a", Boot: 1, Contents: []mesh.ContentEvidence{encodeContent(now, &e)}})
 }
 
 func backendsThatBreak(t *testing.T) []*backend {
@@ -68,7 +68,7 @@
 // back. Others are served.
 func TestAQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	bs := backendsThatBreak(t)
-	url, g, _ := launch(t, 200*time.Millisecond, &storeOf{document: routes()}, bs...)
+	url, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, bs...)
 	waitReady(t, g)
 	for _, method := range []string{"GET", "POST"} {
 		path := map[string]string{"GET": "/get/deadly", "POST": "/buy/deadly"}[method]
@@ -81,7 +81,7 @@
 		assert.Assert(t, after > time.Minute.Seconds(), after)
 	}
 	assert.Equal(t, totalRuns(bs...), 0)
-	status, _, _ := ask(t.Context(), t, "GET", url+"/get/1")
+	status, _, _ := sendRequest(t.Context(), t, "GET", url+"/get/1")
 	assert.Equal(t, status, http.StatusOK)
 }
 
@@ -89,7 +89,7 @@
 	req, err := http.NewRequestWithContext(context.Background(), method, url, strings.NewReader("order"))
 	assert.NilError(t, err)
 	req.Host = "h"
-	req.Header.Set(names.RequestID, "r1")
+	req.Header.Set(headerNames.RequestID, "r1")
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	assert.NilError(t, err)
 	_, _ = io.Copy(io.Discard, resp.Body)
@@ -102,12 +102,12 @@
 	for known, want := range map[int]int{0: 2, 1: 1, 2: 1} {
 		t.Run(fmt.Sprint(known, " losses known"), func(t *testing.T) {
 			bs := backendsThatBreak(t)
-			url, g, _ := launch(t, 200*time.Millisecond, &storeOf{document: routes()}, bs...)
+			url, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, bs...)
 			waitReady(t, g)
 			if known > 0 {
 				told(g, deadly("GET", "/get/deadly"), known)
 			}
-			status, _, _ := ask(t.Context(), t, "GET", url+"/get/deadly")
+			status, _, _ := sendRequest(t.Context(), t, "GET", url+"/get/deadly")
 			assert.Equal(t, status, http.StatusBadGateway, "it may have run")
 			assert.Equal(t, totalRuns(bs...), want)
 		})
@@ -119,7 +119,7 @@
 	for path, want := range map[string]int{"/get/mended": http.StatusOK, "/get/deadly": http.StatusBadGateway} {
 		t.Run(path, func(t *testing.T) {
 			bs := backendsThatBreak(t)
-			url, g, _ := launch(t, 200*time.Millisecond, &storeOf{document: routes()}, bs...)
+			url, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, bs...)
 			waitReady(t, g)
 			toldOf(g, deadly("GET", path), 3, 3*time.Minute)
 			time.Sleep(200 * time.Millisecond) // until the proof is settled
@@ -137,7 +137,7 @@
 func TestOneInstanceTriesAContent(t *testing.T) {
 	var gs []*Gateway
 	for range 3 {
-		_, g, _ := launch(t, 200*time.Millisecond, &storeOf{document: routes()}, newBackend(t, answer(http.StatusOK)))
+		_, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, newBackend(t, respondWith(http.StatusOK)))
 		gs = append(gs, g)
 	}
 	for _, g := range gs {
@@ -169,11 +169,11 @@
 // each request out by itself.
 func TestWhatAPeerKnowsOfContentsComesWithItsGreeting(t *testing.T) {
 	bs := backendsThatBreak(t)
-	_, g, _ := launch(t, 200*time.Millisecond, &storeOf{document: routes()}, bs...)
+	_, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, bs...)
 	c := deadly("GET", "/get/deadly")
 	told(g, c, 3)
 	var p mesh.Packet
-	g.greet(time.Now(), &p)
+	g.fillGreeting(time.Now(), &p)
 	fresh := quarantine.New(logContent)
 	for i := range p.Contents {
 		fresh.Take(time.Now(), decodeContent(time.Now(), &p.Contents[i]), "peer")
@@ -183,8 +183,8 @@
 
 // TestAnOperatorLiftsAQuarantine: it is listed, lifted by its name, and served again.
 func TestAnOperatorLiftsAQuarantine(t *testing.T) {
-	b := newBackend(t, answer(http.StatusOK))
-	url, g, _ := launch(t, 200*time.Millisecond, &storeOf{document: routes()}, b)
+	b := newBackend(t, respondWith(http.StatusOK))
+	url, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, b)
 	waitReady(t, g)
 	c := deadly("GET", "/get/deadly")
 	told(g, c, 3)
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -1,19 +1,19 @@
-// Package gateway is an instance of the gateway: it takes callers' requests,
-// finds their route in the document in force, places each on a target and
-// returns the target's whole answer.
+// Package gateway implements a proxy instance: it accepts callers' requests, looks up
+// their route in the current document, places each on a target and returns the target's
+// complete response.
 //
-// What the request path decides by is kept in Knowledge, one table for each kind
-// of entity: estimates of targets, load, paths, budgets. Packets of other
-// instances and the instance's own attempts update it; a tick drops what is old. Where a
-// target is chosen stands in choice.go, how a failure becomes a belief in learn.go (what
-// an attempt says) and evidence.go (what it changes), whether there is a further attempt
-// in race.again, and what a caller is refused for in call.serve.
+// Knowledge holds the state that placement and retries depend on, in one table for each
+// kind of entity: health estimates of targets, load, paths and budgets. Packets of other
+// instances and the instance's own attempts update it, and a ticker drops old entries.
+// choice.go selects targets, learn.go derives observations from attempts, evidence.go
+// updates health estimates by them, attemptGroup.retry decides on retries and call.serve
+// refuses requests.
 //
-// What holds for each request:
+// Guarantees for each request:
 //
-//   - work that must not repeat is sent to a further target only if nothing of it
-//     left the instance or the target said that it did not run it;
-//   - an answer is passed on whole or not at all, and only if it names the request;
-//   - a refusal (503) is given only if no target may have run the request;
-//   - a request that is given up is answered at once.
+//   - a non-repeatable request is sent to another target only if no part of it has left
+//     the instance or the first target confirmed that it did not run it;
+//   - a response is forwarded completely or not at all, and only if it names the request;
+//   - a refusal (503) is sent only if no target may have run the request;
+//   - when a request is given up, the caller gets its response at once.
 package gateway
--- a/gateway/fleet_bench_test.go
+++ b/gateway/fleet_bench_test.go
@@ -115,7 +115,7 @@
 			"tick": func(int) {
 				f.knowledge.Tick(time.Now())
 			},
-			"spend": func(int) { f.knowledge.Spend(time.Now(), "service-0", true) },
+			"spend": func(int) { f.knowledge.SpendBudget(time.Now(), "service-0", true) },
 			"place": func(int) {
 				p, _ := f.knowledge.Place(time.Now(), "service-0", f.byService["service-0"], nil, nil, placement.Work{Objective: time.Second},
 					func(exchange.Target, time.Duration) bool { return false })
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -15,66 +15,68 @@
 )
 
 const (
-	// headerTimeout bounds the sending of a request's header where the document
-	// does not say.
+	// headerTimeout bounds reading a request's header.
 	headerTimeout = 10 * time.Second
-	// maxHeader bounds what is read of a request's header, in bytes, whatever the document says.
-	maxHeader = 1 << 20
-	// keepAliveProbe finds callers that are gone without a word.
-	keepAliveProbe = 15 * time.Second
+	// maxHeaderBytes bounds how much of a request's header is read, whatever limit the
+	// document sets.
+	maxHeaderBytes = 1 << 20
+	// keepAliveInterval is the interval of TCP keep-alive probes, which detect callers that
+	// vanished without closing their connection.
+	keepAliveInterval = 15 * time.Second
 )
 
-// front is the server for callers. It closes connections by the idle timeout of
-// the document in force, which may change while they are open.
-type front struct {
+// callerServer is the HTTP server for callers. It closes idle connections by the idle
+// timeout of the current document, which may change while they are open.
+type callerServer struct {
 	server   *http.Server
 	listener net.Listener
 
 	mu sync.Mutex
-	// idle holds when each idle connection became so; open counts all.
-	idle map[net.Conn]time.Time
-	open int
-	busy int
+	// idleSince holds the time since which each idle connection has been idle, open counts
+	// all connections and busy those with a request.
+	idleSince map[net.Conn]time.Time
+	open      int
+	busy      int
 }
 
-func listenFront(addr string, h http.Handler) (*front, error) {
-	lc := net.ListenConfig{KeepAlive: keepAliveProbe}
+func listenForCallers(addr string, h http.Handler) (*callerServer, error) {
+	lc := net.ListenConfig{KeepAlive: keepAliveInterval}
 	ln, err := lc.Listen(context.Background(), "tcp4", addr)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	f := &front{listener: ln, idle: make(map[net.Conn]time.Time)}
+	f := &callerServer{listener: ln, idleSince: make(map[net.Conn]time.Time)}
 	f.server = &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: headerTimeout,
-		MaxHeaderBytes:    maxHeader,
-		ConnState:         f.track,
-		ErrorLog:          log.New(serverErrors{}, "", 0),
+		MaxHeaderBytes:    maxHeaderBytes,
+		ConnState:         f.trackConn,
+		ErrorLog:          log.New(serverErrorWriter{}, "", 0),
 	}
 	return f, nil
 }
 
-// serverErrors passes the server's complaints about callers on to the log.
-type serverErrors struct{}
+// serverErrorWriter writes errors of the HTTP server to the event log.
+type serverErrorWriter struct{}
 
 // Write implements io.Writer.
-func (serverErrors) Write(b []byte) (int, error) {
+func (serverErrorWriter) Write(b []byte) (int, error) {
 	eventlog.Info(eventlog.ServerError, "text", strings.TrimSpace(string(b)))
 	return len(b), nil
 }
 
-func (f *front) track(c net.Conn, s http.ConnState) {
+func (f *callerServer) trackConn(c net.Conn, s http.ConnState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_, wasIdle := f.idle[c]
-	delete(f.idle, c)
+	_, wasIdle := f.idleSince[c]
+	delete(f.idleSince, c)
 	switch s {
 	case http.StateNew:
 		f.open++
-		f.idle[c] = time.Now()
+		f.idleSince[c] = time.Now()
 	case http.StateIdle:
 		f.busy--
-		f.idle[c] = time.Now()
+		f.idleSince[c] = time.Now()
 	case http.StateActive:
 		f.busy++
 	case http.StateClosed, http.StateHijacked:
@@ -85,12 +87,12 @@
 	}
 }
 
-// closeIdle closes the connections that were idle for longer than the limit.
-func (f *front) closeIdle(limit time.Duration) {
+// closeIdle closes the connections that have been idle for longer than the limit.
+func (f *callerServer) closeIdle(limit time.Duration) {
 	now := time.Now()
 	var closing []net.Conn
 	f.mu.Lock()
-	for c, since := range f.idle {
+	for c, since := range f.idleSince {
 		if now.Sub(since) > limit {
 			closing = append(closing, c)
 		}
@@ -101,8 +103,8 @@
 	}
 }
 
-// counts returns the open connections and those with a request.
-func (f *front) counts() (open, busy int) {
+// connCounts returns the number of open connections and of those with a request.
+func (f *callerServer) connCounts() (open, busy int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.open, f.busy
--- a/gateway/fuzz_test.go
+++ b/gateway/fuzz_test.go
@@ -11,7 +11,7 @@
 	"github.com/clementinereel/clementinereel/suspicion"
 )
 
-// FuzzPeerPacket: whatever a peer tells, a target is still chosen.
+// FuzzPeerPacket checks that a target is still chosen after any packet of a peer.
 func FuzzPeerPacket(f *testing.F) {
 	for _, p := range []mesh.Packet{
 		{Addr: "p", Zone: "a", Boot: 1, Heartbeat: true, Load: []mesh.Load{{Target: "t1", InFlight: 2}}, LoanRequests: []mesh.Loan{{Service: "s", Permille: 1000}}, Loans: []mesh.Loan{{Service: "s", Permille: 500}}},
@@ -34,7 +34,7 @@
 		later := start.Add(time.Second)
 		k.Digest(later, viewOf(), true)
 		k.Beliefs(later)
-		k.Spend(later, "s", true)
+		k.SpendBudget(later, "s", true)
 		k.Lend(later, p.Addr, p.LoanRequests)
 		if _, ok := k.Place(later, "s", targets("t1", "t2"), nil, nil, placement.Work{}, cold); !ok {
 			t.Fatal("no target was chosen")
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -25,102 +25,103 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection to a target. A path that
-	// works takes a few milliseconds, 60 to another region; an opening packet
-	// that was lost is sent again only after a second, and by then another
-	// target has been tried.
+	// dialTimeout bounds opening a connection to a target. It takes a few milliseconds on a
+	// working path, 60 to another region. A lost SYN is retransmitted only after a
+	// second; by then another target has been tried.
 	dialTimeout = 80 * time.Millisecond
-	// tick is how often tables are looked through for what is over. Targets that
-	// are gone may be in use for longer by it.
-	tick = 100 * time.Millisecond
-	// tidyEvery is how often what is known of targets that are gone is dropped while the
-	// targets stay the same: peers may still tell of some.
-	tidyEvery = 5 * time.Second
-	// usesEvery is the time between lines on the use of connections to targets.
-	usesEvery = 5 * time.Second
-	// bodiesShare is the part of the memory for bodies of requests.
-	bodiesShare = 0.35
-	// gcPercent keeps the heap of an instance small, at a bearable part of its processor time.
+	// tickInterval is the interval at which expired entries are dropped. Removed targets may
+	// stay in use for this much longer.
+	tickInterval = 100 * time.Millisecond
+	// pruneInterval is the interval at which the state of removed targets is dropped while
+	// the set of targets does not change, as peers may still report some of them.
+	pruneInterval = 5 * time.Second
+	// statsLogInterval is the interval between log lines on connections to targets and on
+	// mesh traffic.
+	statsLogInterval = 5 * time.Second
+	// bodiesMemoryFraction is the fraction of MemoryBytes for request bodies.
+	bodiesMemoryFraction = 0.35
+	// gcPercent keeps the heap small at an acceptable cost in CPU time.
 	gcPercent = 100
-	// memoryShare is the part of the memory from which the collector runs
-	// harder.
-	memoryShare = 0.7
+	// memoryLimitFraction is the fraction of MemoryBytes above which the garbage collector
+	// runs more often.
+	memoryLimitFraction = 0.7
 )
 
-// Gateway is one instance.
+// Gateway is a proxy instance.
 type Gateway struct {
-	settings  Settings
-	booted    time.Time
-	state     *statesync.State
-	follower  *statesync.Follower
-	node      *mesh.Node
-	knowledge *Knowledge
-	contents  *quarantine.Table
-	poison    *poison.Table
-	rates     *Rates
-	keeper    *keeper
-	untold    untold
-	client    *exchange.Client
-	handler   *Handler
-	metrics   *Metrics
-	front     *front
-	readyLn   net.Listener
-	peerLn    net.Listener
-	leaving   atomic.Bool
-	ready     atomic.Bool
-	// tidied are the targets for which what is known of others was last dropped.
-	tidied   *registry.View
-	tidiedAt time.Time
+	settings        Settings
+	booted          time.Time
+	state           *statesync.State
+	follower        *statesync.Follower
+	node            *mesh.Node
+	knowledge       *Knowledge
+	contents        *quarantine.Table
+	poison          *poison.Table
+	rates           *Rates
+	contentSync     *keeper
+	pendingEvidence untold
+	client          *exchange.Client
+	handler         *Handler
+	metrics         *Metrics
+	callerServer    *callerServer
+	adminListener   net.Listener
+	peerListener    net.Listener
+	stopping        atomic.Bool
+	ready           atomic.Bool
+	// prunedFor is the set of targets for which the state of others was last dropped, at
+	// prunedAt.
+	prunedFor *registry.View
+	prunedAt  time.Time
 }
 
-// New opens the instance's sockets. The settings are complete.
+// New returns an instance with open sockets. The settings must be complete.
 func New(s Settings, store Store) (*Gateway, error) {
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryBytes)))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(s.MemoryBytes)))
 	g := &Gateway{settings: s, booted: time.Now(), metrics: NewMetrics()}
 	g.knowledge = NewKnowledge(&placement.Chooser{Weights: s.Weights, Self: fleet.InstanceID(s.PeerListen), Zone: s.Zone, Random: rand.Float64}, s.Retry, g.booted)
 	g.contents = quarantine.New(logContent)
 	g.poison = poison.New()
-	g.state = statesync.NewState(uint64(g.booted.UnixNano()), g.announce)
-	g.state.LeaveWithin(s.LeaveWithin)
+	g.state = statesync.NewState(uint64(g.booted.UnixNano()), g.announceVersions)
+	g.state.LeaveWithin(s.RemovalTimeout)
 	g.state.OnRestart(func(ids []fleet.TargetID) { g.knowledge.Restarted(time.Now(), ids) })
-	g.client = &exchange.Client{Cache: exchange.NewCache(dialTimeout), Headers: s.Headers, MaxAnswer: maxAnswer, OnHead: g.heard, Admit: g.admits}
+	g.client = &exchange.Client{Cache: exchange.NewCache(dialTimeout), Headers: s.Headers, MaxAnswer: maxResponseBytes, OnHead: g.heard, Admit: g.admits}
 	if err := g.listen(); err != nil {
 		return nil, err
 	}
 	g.follower = statesync.NewFollower(statesync.Options{
-		State: g.state, Store: store, Peers: g.node.View, Self: g.node.Addr(), Zone: s.Zone, Know: g.node.AddPeers, Tell: g.announce,
+		State: g.state, Store: store, Peers: g.node.View, Self: g.node.Addr(), Zone: s.Zone, Know: g.node.AddPeers, Tell: g.announceVersions,
 	})
-	g.keeper = &keeper{table: g.contents, store: store, reads: g.readsStore, tell: g.tellKept, booted: g.booted}
+	g.contentSync = &keeper{table: g.contents, store: store, reads: g.readsStore, tell: g.tellKept, booted: g.booted}
 	return g, nil
 }
 
 func (g *Gateway) listen() (err error) {
 	s := &g.settings
 	g.node, err = mesh.Listen(mesh.Config{Addr: s.PeerListen, Zone: s.Zone, Boot: g.booted, Seeds: s.Seeds, LinkBytes: s.LinkBytes},
-		mesh.Callbacks{FillHeartbeat: g.fill, FillGreeting: g.greet, Digest: g.digest, Handle: g.take})
+		mesh.Callbacks{FillHeartbeat: g.fillHeartbeat, FillGreeting: g.fillGreeting, Digest: g.digest, Handle: g.handlePacket})
 	if err != nil {
 		return err
 	}
 	g.rates = NewRates(g.node, s.Zone, g.booted, g.state.Targets, g.metrics)
-	if g.peerLn, err = net.Listen("tcp4", g.node.Addr()); err != nil {
+	if g.peerListener, err = net.Listen("tcp4", g.node.Addr()); err != nil {
 		return errors.WithStack(err)
 	}
-	if g.readyLn, err = net.Listen("tcp4", s.ReadyListen); err != nil {
+	if g.adminListener, err = net.Listen("tcp4", s.ReadyListen); err != nil {
 		return errors.WithStack(err)
 	}
 	g.handler = &Handler{
-		State: g.state, Knowledge: g.knowledge, Client: g.client, Tell: g.tell, TellLoad: g.node.SendLoad, AskForLoans: g.node.RequestLoans, Metrics: g.metrics,
-		Contents: g.contents, TellContent: g.tellContent, TriesHere: g.triesHere, Poison: g.poison, Rates: g.rates,
-		Booted: g.booted, Bodies: &Bodies{Bound: int64(bodiesShare * float64(s.MemoryBytes))},
+		State: g.state, Knowledge: g.knowledge, Client: g.client, SendUpdate: g.sendUpdate, SendLoad: g.node.SendLoad, RequestLoans: g.node.RequestLoans, Metrics: g.metrics,
+		Contents: g.contents, SendContent: g.tellContent, RunsTrial: g.triesHere, Poison: g.poison, Rates: g.rates,
+		Booted: g.booted, Bodies: &Bodies{MaxBytes: int64(bodiesMemoryFraction * float64(s.MemoryBytes))},
 	}
-	g.front, err = listenFront(s.Listen, g.handler)
+	g.callerServer, err = listenForCallers(s.Listen, g.handler)
 	return err
 }
 
-// fill completes a heartbeat.
-func (g *Gateway) fill(now time.Time, p *mesh.Packet) {
-	g.versions(p)
+// fillHeartbeat adds this instance's state to a heartbeat.
+func (g *Gateway) fillHeartbeat(now time.Time, p *mesh.Packet) {
+	g.fillVersions(p)
 	g.knowledge.Fill(now, p)
 	g.fillUntold(now, p)
 	g.fillContents(now, p)
@@ -128,67 +129,69 @@
 	g.fillDepartures(now, p)
 }
 
-// greet tells an instance that was just found what this one believes of targets and contents.
-func (g *Gateway) greet(now time.Time, p *mesh.Packet) {
+// fillGreeting adds health estimates, contents, rates and departures to the first packet to
+// a newly found instance.
+func (g *Gateway) fillGreeting(now time.Time, p *mesh.Packet) {
 	p.Estimates = g.knowledge.Beliefs(now)
 	g.fillContents(now, p)
 	g.rates.fill(now, p)
 	g.fillDepartures(now, p)
 }
 
-// digest sums up the own zone.
+// digest returns a digest of the own zone.
 func (g *Gateway) digest(now time.Time, first bool) *mesh.Digest {
 	return g.knowledge.Digest(now, g.node.View(), first)
 }
 
-func (g *Gateway) versions(p *mesh.Packet) {
+func (g *Gateway) fillVersions(p *mesh.Packet) {
 	if g.follower != nil {
 		g.follower.Fill(p)
 	}
 }
 
-// readsStore tells whether this instance reads the store for its zone, and the store's epoch.
+// readsStore returns the store's epoch and whether this instance reads the store for its
+// zone.
 func (g *Gateway) readsStore() (registry.Epoch, bool) {
 	_, position := g.state.Versions()
 	return position.Epoch, g.follower.Log() == mesh.LogAvailable
 }
 
-// tell sends news at once.
-func (g *Gateway) tell(p mesh.Packet) {
-	g.versions(&p)
+// sendUpdate sends an update to the other instances at once.
+func (g *Gateway) sendUpdate(p mesh.Packet) {
+	g.fillVersions(&p)
 	g.fillUntold(time.Now(), &p)
 	g.node.SendUpdate(p)
 }
 
-// announce tells the others that this instance's state has moved on.
-func (g *Gateway) announce() {
+// announceVersions announces the versions of this instance's state to the other instances.
+func (g *Gateway) announceVersions() {
 	var p mesh.Packet
-	g.versions(&p)
+	g.fillVersions(&p)
 	g.node.Announce(p)
 }
 
-// take takes in a packet.
-func (g *Gateway) take(now time.Time, p *mesh.Packet) {
+// handlePacket handles a packet of another instance.
+func (g *Gateway) handlePacket(now time.Time, p *mesh.Packet) {
 	g.knowledge.Take(now, p)
 	g.takeContents(now, p)
 	g.rates.take(now, p)
 	g.takeDepartures(p)
 	if len(p.LoanRequests) > 0 {
-		g.lend(now, p)
+		g.lendBudget(now, p)
 	}
 	if g.state.Behind(now, p.Document, p.Position()) {
 		g.follower.Ahead()
 	}
 }
 
-// lend answers an instance of the zone that is short of a retry budget.
-func (g *Gateway) lend(now time.Time, p *mesh.Packet) {
+// lendBudget responds to loan requests of an instance of the own zone.
+func (g *Gateway) lendBudget(now time.Time, p *mesh.Packet) {
 	if loans := g.knowledge.Lend(now, p.Addr, p.LoanRequests); len(loans) > 0 {
 		g.node.SendLoans(p.Addr, loans)
 	}
 }
 
-// Run serves until ctx ends, then stops without cutting a request.
+// Run serves until ctx ends, then stops gracefully within the grace period.
 func (g *Gateway) Run(ctx context.Context) error {
 	s := &g.settings
 	eventlog.Info(eventlog.Started, "instance", s.Instance, "zone", s.Zone, "listen", s.Listen, "peer", g.node.Addr(), "seeds", len(s.Seeds))
@@ -196,12 +199,12 @@
 	defer cancel()
 	go g.node.Run(background)
 	go g.follower.Run(background)
-	go g.keeper.run(background)
-	go g.tick(background)
+	go g.contentSync.run(background)
+	go g.runTicker(background)
 	failed := make(chan error, 3)
-	go g.serve(failed, g.front.listener, g.front.server)
-	go g.serve(failed, g.readyLn, &http.Server{Handler: g.operatorRoutes(), ReadHeaderTimeout: headerTimeout})
-	go g.serve(failed, g.peerLn, &http.Server{Handler: g.peerRoutes(), ReadHeaderTimeout: headerTimeout})
+	go g.serve(failed, g.callerServer.listener, g.callerServer.server)
+	go g.serve(failed, g.adminListener, &http.Server{Handler: g.adminRoutes(), ReadHeaderTimeout: headerTimeout})
+	go g.serve(failed, g.peerListener, &http.Server{Handler: g.peerRoutes(), ReadHeaderTimeout: headerTimeout})
 	select {
 	case err := <-failed:
 		return err
@@ -217,18 +220,18 @@
 	}
 }
 
-// operatorRoutes answers the balancer's checks, serves metrics, and lists and lifts what is held against contents
-// and what targets say of themselves.
-func (g *Gateway) operatorRoutes() http.Handler {
+// adminRoutes returns the routes for readiness checks, metrics, and listing and lifting
+// quarantines and advice of targets.
+func (g *Gateway) adminRoutes() http.Handler {
 	e := echo.New()
 	e.GET(g.settings.ReadyPath, func(c echo.Context) error {
-		if !g.ready.Load() || g.leaving.Load() {
+		if !g.ready.Load() || g.stopping.Load() {
 			return c.NoContent(http.StatusServiceUnavailable)
 		}
 		return c.NoContent(http.StatusOK)
 	})
 	e.GET("/metrics", func(c echo.Context) error {
-		g.metrics.set(g)
+		g.metrics.updateGauges(g)
 		g.metrics.Registry.ServeHTTP(c.Response(), c.Request())
 		return nil
 	})
@@ -239,50 +242,50 @@
 	return e
 }
 
-// liftContent ends a quarantine everywhere, at an operator's word.
+// liftContent ends a quarantine on all instances, on request of an operator.
 func (g *Gateway) liftContent(c echo.Context) error {
 	f, err := quarantine.ParseFingerprint(c.Param("content"))
 	if err != nil {
 		return c.String(http.StatusBadRequest, err.Error())
 	}
 	now := time.Now()
-	told, known := g.contents.Lift(now, f)
-	if !known {
+	evidence, found := g.contents.Lift(now, f)
+	if !found {
 		return c.String(http.StatusNotFound, "nothing is held against this content here")
 	}
-	g.tellContent(now, told)
+	g.tellContent(now, evidence)
 	return c.NoContent(http.StatusNoContent)
 }
 
-// peerRoutes answers other instances.
+// peerRoutes returns the routes for other instances.
 func (g *Gateway) peerRoutes() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(statesync.Path, g.state)
 	return mux
 }
 
-// tick drops what is over, again and again.
-func (g *Gateway) tick(ctx context.Context) {
-	t := time.NewTicker(tick)
+// runTicker drops expired entries and logs statistics at fixed intervals until ctx ends.
+func (g *Gateway) runTicker(ctx context.Context) {
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
-	uses := time.NewTicker(usesEvery)
-	defer uses.Stop()
+	stats := time.NewTicker(statsLogInterval)
+	defer stats.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-t.C:
-			g.tickOnce(now)
-		case <-uses.C:
-			g.logUses()
-			g.logTraffic()
+			g.tick(now)
+		case <-stats.C:
+			g.logConnectionUses()
+			g.logMeshTraffic()
 		}
 	}
 }
 
-// logTraffic tells what this instance sent to others since the start, in KB, by kind,
-// and the most within one second: more than its link takes holds up everything else.
-func (g *Gateway) logTraffic() {
+// logMeshTraffic logs what this instance has sent to others since the start, in KB by kind,
+// and the peak KB within one second: more than the link's bandwidth delays all other traffic.
+func (g *Gateway) logMeshTraffic() {
 	const kb = 1024
 	s := g.node.Stats()
 	pairs := []any{"received", s.Received, "dropped", s.Dropped, "most_kb_s", s.MaxBytesPerSecond / kb}
@@ -292,8 +295,8 @@
 	eventlog.Info(eventlog.MeshTraffic, pairs...)
 }
 
-// logUses tells what became of connections to targets since the last such line.
-func (g *Gateway) logUses() {
+// logConnectionUses logs how connections to targets were used since the last such line.
+func (g *Gateway) logConnectionUses() {
 	u := g.client.Cache.TakeUses()
 	if u == (exchange.Uses{}) {
 		return
@@ -302,36 +305,35 @@
 		"aged", u.Aged, "bounded", u.Bounded, "broken", u.Broken, "ended", u.Ended, "surplus", u.Surplus)
 }
 
-func (g *Gateway) tickOnce(now time.Time) {
+func (g *Gateway) tick(now time.Time) {
 	view := g.node.View()
 	g.follower.Tick(now, view)
 	targets := g.state.Targets()
-	// Before the targets are known, what others told of them is kept.
-	unknown := targets.Len() == 0
+	// Until the targets are available, peers' reports about them are kept.
+	noTargets := targets.Len() == 0
 	g.knowledge.Count(now, view)
 	g.knowledge.Tick(now)
 	g.contents.Tick(now)
 	g.rates.tick(now)
-	if targets != g.tidied || now.Sub(g.tidiedAt) > tidyEvery {
-		g.tidied, g.tidiedAt = targets, now
+	if targets != g.prunedFor || now.Sub(g.prunedAt) > pruneInterval {
+		g.prunedFor, g.prunedAt = targets, now
 		g.poison.Expire(now)
-		inUse := func(id fleet.TargetID) bool { return unknown || targets.Target(id) != nil }
+		inUse := func(id fleet.TargetID) bool { return noTargets || targets.Target(id) != nil }
 		g.knowledge.Forget(inUse)
 		g.rates.table.Prune(now, inUse)
 	}
 	g.client.Cache.Sweep(now, func(t exchange.Target) bool {
 		rt := targets.Target(t.ID)
-		return unknown || (rt != nil && at(rt) == t)
+		return noTargets || (rt != nil && at(rt) == t)
 	})
-	if t := g.state.Table(); t != nil && !g.leaving.Load() {
-		g.front.closeIdle(t.Document.Limits.IdleTimeout)
+	if t := g.state.Table(); t != nil && !g.stopping.Load() {
+		g.callerServer.closeIdle(t.Document.Limits.IdleTimeout)
 	}
-	g.setReady()
+	g.updateReady()
 }
 
-// setReady tells the balancer to send callers once there is a configuration and a
-// target.
-func (g *Gateway) setReady() {
+// updateReady makes the readiness check succeed while there are a configuration and a target.
+func (g *Gateway) updateReady() {
 	ready := g.state.Table() != nil && g.state.Targets().Len() > 0
 	if g.ready.Swap(ready) != ready {
 		version, position := g.state.Versions()
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -26,32 +26,31 @@
 )
 
 const (
-	// fallbackWait bounds a request that names no deadline on a route without a
-	// timeout.
-	fallbackWait = 30 * time.Second
-	// answerMargin is left of a caller's deadline for the way back.
-	answerMargin = 30 * time.Millisecond
-	// timeoutGrace is how long past a route's timeout the target's own answer to
-	// its deadline is still waited for.
+	// defaultRequestTimeout bounds a request without a deadline on a route without a timeout.
+	defaultRequestTimeout = 30 * time.Second
+	// responseMargin is subtracted from a caller's deadline for sending the response back.
+	responseMargin = 30 * time.Millisecond
+	// timeoutGrace is how long after a route's timeout the instance still waits for
+	// the target's own timeout response.
 	timeoutGrace = 120 * time.Millisecond
-	// comeBack is when a refused caller may try again: by then a slot has
-	// come free or a peer has told what was missing.
-	comeBack = 300 * time.Millisecond
-	// writeTimeout bounds the writing of an answer to a caller that reads
-	// slowly.
+	// minRetryAfter is the shortest Retry-After of a refused request: by then a slot is
+	// usually free or a peer has sent the missing state.
+	minRetryAfter = 300 * time.Millisecond
+	// writeTimeout bounds writing a response to a caller that reads slowly.
 	writeTimeout = 10 * time.Second
-	// stateWait is how long a request waits for the first configuration and targets of
-	// a process that has just started, startingFor for how long it counts as such, and
-	// statePoll how often it looks. The store or a peer answers within some 10 ms; a
-	// caller that is refused may have no time, or no right, to come again.
-	stateWait   = 150 * time.Millisecond
-	startingFor = 2 * time.Second
-	statePoll   = 5 * time.Millisecond
-	// maxAnswer bounds an answer's body in bytes.
-	maxAnswer = 16 << 20
-	// maxDiscard bounds the part of a refused request's body that is read, in
-	// bytes.
-	maxDiscard = 8 << 20
+	// initialStateTimeout bounds how long a request waits during startup for the first
+	// configuration and targets. The store or a peer delivers them within some 10 ms. A
+	// refused caller may have no time left to retry, or may not be allowed to.
+	initialStateTimeout = 150 * time.Millisecond
+	// startupPeriod is the time after the process start in which requests wait for the
+	// initial state.
+	startupPeriod = 2 * time.Second
+	// statePollInterval is the interval at which waiting requests check for the initial state.
+	statePollInterval = 5 * time.Millisecond
+	// maxResponseBytes bounds the body of a target's response.
+	maxResponseBytes = 16 << 20
+	// maxDiscardBytes bounds how much of a refused request's body is read.
+	maxDiscardBytes = 8 << 20
 )
 
 // Handler serves callers' requests.
@@ -59,42 +58,45 @@
 	State     *statesync.State
 	Knowledge *Knowledge
 	Client    *exchange.Client
-	Tell      func(mesh.Packet)
-	TellLoad  func(l mesh.Load, concerns func(addr string) bool)
-	// AskForLoans asks a number of neighbours for parts of their retry budgets.
-	AskForLoans func(asks []mesh.Loan, neighbours int)
-	Metrics     *Metrics
-	// Contents knows requests that crash their targets, TellContent tells the others of one.
-	Contents    *quarantine.Table
-	TellContent func(now time.Time, e quarantine.Evidence)
-	// TriesHere tells whether this instance is the one that tries a content in quarantine again.
-	TriesHere func(quarantine.Fingerprint) bool
-	// Rates knows the rates that targets in need name.
+	// SendUpdate sends a packet to the other instances.
+	SendUpdate func(mesh.Packet)
+	// SendLoad sends this instance's load at a target to the instances selected by concerns.
+	SendLoad func(l mesh.Load, concerns func(addr string) bool)
+	// RequestLoans requests loans of retry budget from a number of neighbours.
+	RequestLoans func(loans []mesh.Loan, neighbours int)
+	Metrics      *Metrics
+	// Contents tracks requests that crash their targets.
+	Contents *quarantine.Table
+	// SendContent sends evidence about a content to the other instances.
+	SendContent func(now time.Time, e quarantine.Evidence)
+	// RunsTrial reports whether this instance runs the trials of a quarantined content.
+	RunsTrial func(quarantine.Fingerprint) bool
+	// Rates holds the request rates that overloaded targets allow.
 	Rates *Rates
-	// Poison knows requests that fail at each target.
+	// Poison tracks requests that fail at every target.
 	Poison *poison.Table
-	// Bodies bounds the bytes of all requests' bodies that are held.
+	// Bodies bounds the memory for request bodies.
 	Bodies *Bodies
 	// Booted is when the process started.
 	Booted time.Time
-	// leaving tells callers to go elsewhere after their answer.
-	leaving atomic.Bool
-	// end is when the process ends, once requests are refused that may take longer. It
-	// carries the steady clock, since the time of day may jump meanwhile.
-	end atomic.Pointer[time.Time]
+	// keepAliveDisabled makes every response close its connection.
+	keepAliveDisabled atomic.Bool
+	// shutdownAt is when the process ends; nil until requests with later deadlines are
+	// refused. It has a monotonic clock reading, as the wall clock may jump.
+	shutdownAt atomic.Pointer[time.Time]
 }
 
-// Leave makes every answer the last on its connection.
-func (h *Handler) Leave() { h.leaving.Store(true) }
+// DisableKeepAlive makes every response close its connection.
+func (h *Handler) DisableKeepAlive() { h.keepAliveDisabled.Store(true) }
 
-// RefuseBeyond refuses further requests that may take until after the end of the
-// process. Those that cannot are still served: callers who are refused may have no
-// time, or no right, to come again.
-func (h *Handler) RefuseBeyond(end time.Time) { h.end.Store(&end) }
+// RefuseDeadlinesAfter refuses new requests whose deadline is after the end of the
+// process. Others are still served: a refused caller may have no time left to retry, or
+// may not be allowed to.
+func (h *Handler) RefuseDeadlinesAfter(end time.Time) { h.shutdownAt.Store(&end) }
 
-// endsBefore tells whether the process may end before the given time.
-func (h *Handler) endsBefore(t time.Time) bool {
-	end := h.end.Load()
+// shutsDownBefore reports whether the process may end before t.
+func (h *Handler) shutsDownBefore(t time.Time) bool {
+	end := h.shutdownAt.Load()
 	return end != nil && t.After(*end)
 }
 
@@ -102,7 +104,7 @@
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c := &call{h: h, w: w, r: r, start: time.Now(), id: r.Header.Get(h.Client.Headers.RequestID)}
 	status := c.serve()
-	h.Metrics.Request(c, status, time.Since(c.start))
+	h.Metrics.CountRequest(c, status, time.Since(c.start))
 }
 
 // call is one caller's request.
@@ -116,15 +118,15 @@
 	route   *document.Entry
 	service document.ServiceName
 	request *exchange.Request
-	// content is what of the request decides what a target does with it.
+	// content identifies equal requests: the parts that determine how a target handles one.
 	content quarantine.Content
-	// deadline is when the answer must be on its way, and targetDeadline what
-	// targets are told.
+	// deadline is when the response must be sent, targetDeadline is the deadline
+	// passed on to targets.
 	deadline, targetDeadline time.Time
 }
 
-// serve answers the request and returns the answer's status; 0 if the caller
-// left.
+// serve handles the request and returns the status of the response; 0 if the caller
+// has disconnected.
 func (c *call) serve() int {
 	table := c.h.table(c.r.Context(), c.start)
 	if table == nil {
@@ -143,7 +145,7 @@
 	if err := c.setDeadline(); err != nil {
 		return c.fail(http.StatusBadRequest, problem.BadRequest, err.Error())
 	}
-	if c.h.endsBefore(c.deadline) {
+	if c.h.shutsDownBefore(c.deadline) {
 		return c.refuse(problem.Overloaded, "the instance is stopping")
 	}
 	body, status := c.readBody(&table.Document.Limits)
@@ -160,23 +162,23 @@
 		return c.refuseContent()
 	}
 	c.service = c.route.NextService()
-	c.h.Knowledge.Request(time.Now(), c.service, c.urgent())
-	return c.answer(c.attempts())
+	c.h.Knowledge.RecordRequest(time.Now(), c.service, c.urgent())
+	return c.respond(c.runAttempts())
 }
 
-// table returns the configuration in force, nil if there is none. A process that has just
-// started waits a moment for it and for the targets.
-func (h *Handler) table(ctx context.Context, asked time.Time) *document.Table {
-	known := func() bool { return h.State.Table() != nil && h.State.Targets().Len() > 0 }
-	for !known() && time.Since(h.Booted) < startingFor && time.Since(asked) < stateWait {
-		if !wait.For(ctx, statePoll) {
+// table returns the current configuration, nil if there is none. During startup it waits
+// up to initialStateTimeout for the configuration and the targets.
+func (h *Handler) table(ctx context.Context, requestedAt time.Time) *document.Table {
+	available := func() bool { return h.State.Table() != nil && h.State.Targets().Len() > 0 }
+	for !available() && time.Since(h.Booted) < startupPeriod && time.Since(requestedAt) < initialStateTimeout {
+		if !wait.For(ctx, statePollInterval) {
 			break
 		}
 	}
 	return h.State.Table()
 }
 
-// requestURI is the path and query as they were sent.
+// requestURI returns the path and query as received.
 func requestURI(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
@@ -184,7 +186,8 @@
 	return r.URL.RequestURI()
 }
 
-// headerBytes is the size of a request's header fields, as they were sent but for spaces.
+// headerBytes returns the size of a request's header fields on the wire, without
+// optional whitespace.
 func headerBytes(r *http.Request) int {
 	const fieldExtra = len(": \r\n")
 	n := len("Host") + len(r.Host) + fieldExtra
@@ -197,7 +200,7 @@
 }
 
 func (c *call) setDeadline() error {
-	left := fallbackWait
+	left := defaultRequestTimeout
 	if v := c.r.Header.Get(c.h.Client.Headers.Deadline); v != "" {
 		ms, err := strconv.ParseInt(v, 10, 64)
 		if err != nil || ms < 0 {
@@ -206,7 +209,7 @@
 		left = time.Duration(ms) * time.Millisecond
 	}
 	c.targetDeadline = c.start.Add(left)
-	c.deadline = c.targetDeadline.Add(-answerMargin)
+	c.deadline = c.targetDeadline.Add(-responseMargin)
 	if t := c.route.Timeout; t > 0 && c.start.Add(t).Before(c.targetDeadline) {
 		c.targetDeadline = c.start.Add(t)
 		if end := c.targetDeadline.Add(timeoutGrace); end.Before(c.deadline) {
@@ -216,8 +219,8 @@
 	return nil
 }
 
-// readBody reads the whole body, so that it can go to a further target. It
-// returns the status of the answer that was given instead, if one was.
+// readBody reads the whole body, so that the request can be retried at another target.
+// If it fails, it sends an error response and returns its status, otherwise 0.
 func (c *call) readBody(limits *document.Limits) ([]byte, int) {
 	if c.r.ContentLength == 0 {
 		return nil, 0
@@ -240,43 +243,43 @@
 	return nil, c.fail(http.StatusBadRequest, problem.BadRequest, "the body is malformed")
 }
 
-// answer passes on the outcome of the attempts.
-func (c *call) answer(o outcome) int {
+// respond sends the outcome of the attempts to the caller.
+func (c *call) respond(o outcome) int {
 	if c.r.Context().Err() != nil {
 		eventlog.Info(eventlog.CallerLeft, "request", c.id, "route", c.route.Name, "class", c.className(), "service", c.service, "outcome", o.kind,
 			"after_ms", time.Since(c.start).Milliseconds())
 		return 0
 	}
-	if o.answer != nil {
-		return c.pass(o)
+	if o.response != nil {
+		return c.forward(o)
 	}
 	switch o.kind {
-	case notRun:
-		return c.refuseFor(problem.Overloaded, o.why, max(o.comeBack, comeBack))
-	case late:
-		return c.fail(http.StatusGatewayTimeout, problem.TargetTimeout, o.why)
+	case outcomeNotRun:
+		return c.refuseFor(problem.Overloaded, o.reason, max(o.retryAfter, minRetryAfter))
+	case outcomeTimedOut:
+		return c.fail(http.StatusGatewayTimeout, problem.TargetTimeout, o.reason)
 	}
-	return c.fail(http.StatusBadGateway, problem.TargetFailed, o.why)
+	return c.fail(http.StatusBadGateway, problem.TargetFailed, o.reason)
 }
 
-// pass sends a target's answer to the caller.
-func (c *call) pass(o outcome) int {
-	if o.answer.Status/100 != 2 {
-		eventlog.Info(eventlog.RequestFailed, "request", c.id, "route", c.route.Name, "class", c.className(), "service", c.service, "status", o.answer.Status,
+// forward sends a target's response to the caller.
+func (c *call) forward(o outcome) int {
+	if o.response.Status/100 != 2 {
+		eventlog.Info(eventlog.RequestFailed, "request", c.id, "route", c.route.Name, "class", c.className(), "service", c.service, "status", o.response.Status,
 			"by", "target", "target", o.target, "attempts", o.attempts, "document", c.version, "after_ms", time.Since(c.start).Milliseconds())
 	}
 	out := c.w.Header()
-	for name, values := range header.Strip(o.answer.Header) {
+	for name, values := range header.Strip(o.response.Header) {
 		out[name] = values
 	}
 	if _, ok := out["Content-Type"]; !ok {
-		out["Content-Type"] = nil // none, rather than a guess
+		out["Content-Type"] = nil // prevents net/http from sniffing a type
 	}
-	if bodyAllowed(c.r.Method, o.answer.Status) {
-		out.Set("Content-Length", strconv.Itoa(len(o.answer.Body)))
+	if bodyAllowed(c.r.Method, o.response.Status) {
+		out.Set("Content-Length", strconv.Itoa(len(o.response.Body)))
 	}
-	c.write(o.answer.Status, o.answer.Body)
-	return o.answer.Status
+	c.write(o.response.Status, o.response.Body)
+	return o.response.Status
 }
 
 func bodyAllowed(method string, status int) bool {
@@ -284,34 +287,35 @@
 }
 
 func (c *call) write(status int, body []byte) {
-	if c.h.leaving.Load() {
+	if c.h.keepAliveDisabled.Load() {
 		c.w.Header().Set("Connection", "close")
 	}
 	rc := http.NewResponseController(c.w)
-	// A connection without deadlines is bounded by the callers' own.
+	// If the connection supports no deadlines, the caller's own timeout bounds the write.
 	_ = rc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	c.w.WriteHeader(status)
-	// A caller that has gone by now has its answer lost on its own side.
+	// A write error means that the caller has disconnected.
 	_, _ = c.w.Write(body)
 }
 
-// refuse tells the caller that the request was not run, and when to come back.
-func (c *call) refuse(t problem.Type, why string) int { return c.refuseFor(t, why, comeBack) }
+// refuse responds that the request was not run, with the shortest Retry-After.
+func (c *call) refuse(t problem.Type, why string) int { return c.refuseFor(t, why, minRetryAfter) }
 
-// refuseFor tells the caller to come back after a given time; pairs are added to the line.
-func (c *call) refuseFor(t problem.Type, why string, wait time.Duration, pairs ...any) int {
-	eventlog.Info(eventlog.RequestRefused, append([]any{"request", c.id, "route", c.routeName(), "class", c.className(), "service", c.service, "why", why,
-		"document", c.version, "after_ms", time.Since(c.start).Milliseconds(), "come_back_ms", wait.Milliseconds()}, pairs...)...)
-	seconds := strconv.FormatFloat(wait.Seconds(), 'f', -1, 64)
+// refuseFor responds that the request was not run, with the given Retry-After.
+// The key-value pairs are added to the log line.
+func (c *call) refuseFor(t problem.Type, reason string, retryAfter time.Duration, pairs ...any) int {
+	eventlog.Info(eventlog.RequestRefused, append([]any{"request", c.id, "route", c.routeName(), "class", c.className(), "service", c.service, "why", reason,
+		"document", c.version, "after_ms", time.Since(c.start).Milliseconds(), "come_back_ms", retryAfter.Milliseconds()}, pairs...)...)
+	seconds := strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64)
 	c.w.Header().Set(header.RetryAfter, seconds)
-	return c.own(problem.New(http.StatusServiceUnavailable, t, why))
+	return c.writeProblem(problem.New(http.StatusServiceUnavailable, t, reason))
 }
 
-// fail tells the caller that the request failed or may have run.
-func (c *call) fail(status int, t problem.Type, why string) int {
+// fail responds that the request failed or may have run.
+func (c *call) fail(status int, t problem.Type, reason string) int {
 	eventlog.Info(eventlog.RequestFailed, "request", c.id, "route", c.routeName(), "class", c.className(), "service", c.service, "status", status,
-		"by", "self", "why", why, "document", c.version, "after_ms", time.Since(c.start).Milliseconds())
-	return c.own(problem.New(status, t, why))
+		"by", "self", "why", reason, "document", c.version, "after_ms", time.Since(c.start).Milliseconds())
+	return c.writeProblem(problem.New(status, t, reason))
 }
 
 func (c *call) routeName() string {
@@ -321,10 +325,10 @@
 	return c.route.Name
 }
 
-func (c *call) own(p *problem.Problem) int {
-	// What is left of the body is read, or closing the connection would reset it
-	// before the caller has the answer.
-	_, _ = io.CopyN(io.Discard, c.r.Body, maxDiscard)
+func (c *call) writeProblem(p *problem.Problem) int {
+	// Drain the body: closing the connection with unread data would reset it
+	// before the caller has read the response.
+	_, _ = io.CopyN(io.Discard, c.r.Body, maxDiscardBytes)
 	body := p.Body(c.id)
 	out := c.w.Header()
 	out.Set("Content-Type", problem.ContentType)
@@ -336,7 +340,7 @@
 	return p.Status
 }
 
-// class returns the route's class, 0 if no route was found.
+// class returns the route's class, 0 if no route matched.
 func (c *call) class() fleet.Class {
 	if c.route == nil {
 		return 0
@@ -344,7 +348,7 @@
 	return c.route.Class
 }
 
-// className is the class as logs write it, empty if no route was found.
+// className returns the class for log lines, empty if no route matched.
 func (c *call) className() string {
 	if c.route == nil {
 		return ""
@@ -352,10 +356,10 @@
 	return c.route.Class.String()
 }
 
-// repeatable tells whether the request may run more than once.
+// repeatable reports whether the request may run more than once.
 func (c *call) repeatable() bool { return c.route.Class == fleet.Lookup }
 
-// caller is the IP address that the request came from.
+// caller returns the caller's IP address.
 func (c *call) caller() string {
 	host, _, err := net.SplitHostPort(c.r.RemoteAddr)
 	if err != nil {
@@ -364,9 +368,10 @@
 	return host
 }
 
-// context returns the context of the attempts, and what ends its tie to the caller:
-// work that may be repeated ends when the caller leaves, other work goes on.
-func (c *call) context() (ctx context.Context, cancel context.CancelFunc, untie func() bool) {
+// attemptContext returns the context of the attempts. If the request is repeatable, the
+// context is canceled when the caller disconnects, until detach is called; other
+// requests go on.
+func (c *call) attemptContext() (ctx context.Context, cancel context.CancelFunc, detach func() bool) {
 	ctx, cancel = context.WithCancel(context.WithoutCancel(c.r.Context()))
 	if !c.repeatable() {
 		return ctx, cancel, func() bool { return true }
--- a/gateway/handler_test.go
+++ b/gateway/handler_test.go
@@ -24,14 +24,14 @@
 	"github.com/clementinereel/clementinereel/statesync"
 )
 
-var names = exchange.Headers{RequestID: "X-Id", Deadline: "X-Deadline", Seal: "X-Seal", Target: "X-Target", NotRun: "X-Not-Run", Leaving: "X-Leaving"}
+var headerNames = exchange.Headers{RequestID: "X-Id", Deadline: "X-Deadline", Seal: "X-Seal", Target: "X-Target", NotRun: "X-Not-Run", Leaving: "X-Leaving"}
 
-// backend is a target that counts runs and those that were given up.
+// backend is a target that counts requests, finished ones and those whose client disconnected.
 type backend struct {
 	*httptest.Server
-	mu          sync.Mutex
-	runs, ended int
-	abandoned   int
+	mu             sync.Mutex
+	runs, finished int
+	abandoned      int
 }
 
 func newBackend(t *testing.T, serve func(w http.ResponseWriter, r *http.Request)) *backend {
@@ -41,11 +41,11 @@
 		b.mu.Lock()
 		b.runs++
 		b.mu.Unlock()
-		w.Header().Set(names.RequestID, r.Header.Get(names.RequestID))
+		w.Header().Set(headerNames.RequestID, r.Header.Get(headerNames.RequestID))
 		serve(w, r)
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.ended++
+		b.finished++
 		if r.Context().Err() != nil {
 			b.abandoned++
 		}
@@ -54,15 +54,15 @@
 	return b
 }
 
-func (b *backend) counts() (runs, ended, abandoned int) {
+func (b *backend) counts() (runs, finished, abandoned int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.runs, b.ended, b.abandoned
+	return b.runs, b.finished, b.abandoned
 }
 
-func answer(status int) func(http.ResponseWriter, *http.Request) {
+func respondWith(status int) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(names.Seal, "s")
+		w.Header().Set(headerNames.Seal, "s")
 		w.WriteHeader(status)
 		_, _ = io.WriteString(w, "whole")
 	}
@@ -73,19 +73,19 @@
 	case <-r.Context().Done():
 	case <-time.After(2 * time.Second):
 	}
-	answer(http.StatusOK)(w, r)
+	respondWith(http.StatusOK)(w, r)
 }
 
-// storeOf is a store that holds one document and some targets.
-type storeOf struct {
+// fakeStore is a store with one document and some targets.
+type fakeStore struct {
 	document *document.Document
 	entries  []registry.Entry
-	// late is how long a snapshot takes.
-	late time.Duration
+	// snapshotDelay delays each snapshot.
+	snapshotDelay time.Duration
 }
 
-func (s *storeOf) Snapshot(_ context.Context, stream statesync.Stream) (statesync.Batch, error) {
-	time.Sleep(s.late)
+func (s *fakeStore) Snapshot(_ context.Context, stream statesync.Stream) (statesync.Batch, error) {
+	time.Sleep(s.snapshotDelay)
 	if stream == statesync.Documents {
 		return statesync.Batch{Next: 1, Records: []statesync.Record{{Document: s.document}}}, nil
 	}
@@ -96,7 +96,7 @@
 	return b, nil
 }
 
-func (s *storeOf) Read(ctx context.Context, _ statesync.Stream, from registry.Offset, wait time.Duration) (statesync.Batch, error) {
+func (s *fakeStore) Read(ctx context.Context, _ statesync.Stream, from registry.Offset, wait time.Duration) (statesync.Batch, error) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(wait):
@@ -104,22 +104,22 @@
 	return statesync.Batch{Next: from}, ctx.Err()
 }
 
-func (s *storeOf) Addresses(context.Context) ([]string, error) { return nil, nil }
+func (s *fakeStore) Addresses(context.Context) ([]string, error) { return nil, nil }
 
-func (s *storeOf) Announce(context.Context, string) (registry.Epoch, error) { return 0, nil }
+func (s *fakeStore) Announce(context.Context, string) (registry.Epoch, error) { return 0, nil }
 
-func (s *storeOf) Contents(context.Context) ([]quarantine.Evidence, error) { return nil, nil }
+func (s *fakeStore) Contents(context.Context) ([]quarantine.Evidence, error) { return nil, nil }
 
-func (s *storeOf) KeepContent(context.Context, quarantine.Evidence) error { return nil }
+func (s *fakeStore) KeepContent(context.Context, quarantine.Evidence) error { return nil }
 
-func (s *storeOf) ReleaseContent(context.Context, quarantine.Fingerprint) error { return nil }
+func (s *fakeStore) ReleaseContent(context.Context, quarantine.Fingerprint) error { return nil }
 
 const (
 	routeTimeout = 400 * time.Millisecond
 	idleTimeout  = 300 * time.Millisecond
 )
 
-func routes() *document.Document {
+func testDocument() *document.Document {
 	service := []document.Backend{{Service: "s", Weight: 1}}
 	return &document.Document{
 		Version: 1,
@@ -139,21 +139,22 @@
 	return ln.Addr().String()
 }
 
-// startGateway runs an instance before the backends and returns its URL.
+// startGateway starts an instance with the backends as targets and returns its URL.
 func startGateway(t *testing.T, backends ...*backend) string {
-	url, _ := startGatewayFor(t, 200*time.Millisecond, backends...)
+	url, _ := startGatewayWithGrace(t, 200*time.Millisecond, backends...)
 	return url
 }
 
-// startGatewayFor starts an instance with a grace time. It returns its URL and what
-// stops it.
-func startGatewayFor(t *testing.T, grace time.Duration, backends ...*backend) (string, context.CancelFunc) {
-	url, g, stop := launch(t, grace, &storeOf{document: routes()}, backends...)
+// startGatewayWithGrace starts an instance with the given grace period. It returns its URL
+// and a function that stops it.
+func startGatewayWithGrace(t *testing.T, grace time.Duration, backends ...*backend) (string, context.CancelFunc) {
+	url, g, stop := launchGateway(t, grace, &fakeStore{document: testDocument()}, backends...)
 	waitReady(t, g)
 	return url, stop
 }
 
-// waitReady waits until an instance serves and knows how many share its budgets.
+// waitReady waits until an instance serves and has the number of instances that share its
+// budgets.
 func waitReady(t *testing.T, g *Gateway) {
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		g.knowledge.mu.Lock()
@@ -165,8 +166,8 @@
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-// launch starts an instance and does not wait for it.
-func launch(t *testing.T, grace time.Duration, store *storeOf, backends ...*backend) (string, *Gateway, context.CancelFunc) {
+// launchGateway starts an instance without waiting for it to be ready.
+func launchGateway(t *testing.T, grace time.Duration, store *fakeStore, backends ...*backend) (string, *Gateway, context.CancelFunc) {
 	for i, b := range backends {
 		store.entries = append(store.entries, registry.Entry{
 			ID: fleet.TargetID(fmt.Sprint("t", i)), Service: "s", Addr: b.Listener.Addr().String(), Zone: "a", Slots: 4,
@@ -174,12 +175,12 @@
 	}
 	s := Settings{
 		Instance: "i", Zone: "a", Listen: freeAddr(t), ReadyListen: freeAddr(t), ReadyPath: "/ready", PeerListen: freeAddr(t),
-		Headers: names, Retry: budget, Grace: grace,
+		Headers: headerNames, Retry: budget, Grace: grace,
 	}
 	assert.NilError(t, s.Complete())
 	g, err := New(s, store)
 	assert.NilError(t, err)
-	g.knowledge.census.booted = time.Now().Add(-time.Hour) // what it may add does not begin at nothing
+	g.knowledge.census.booted = time.Now().Add(-time.Hour) // so that its retry budget does not start at zero
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -193,18 +194,19 @@
 	return "http://" + s.Listen, g, cancel
 }
 
-func ask(ctx context.Context, t *testing.T, method, url string) (int, string, time.Duration) {
-	return askWithin(ctx, t, method, url, 4*time.Second)
+func sendRequest(ctx context.Context, t *testing.T, method, url string) (int, string, time.Duration) {
+	return sendRequestWithDeadline(ctx, t, method, url, 4*time.Second)
 }
 
-// askWithin asks with the given deadline.
-func askWithin(ctx context.Context, t *testing.T, method, url string, deadline time.Duration) (int, string, time.Duration) {
+// sendRequestWithDeadline sends a request with the given deadline. It returns the status,
+// the body and the time taken; status 0 and the error text if there is no response.
+func sendRequestWithDeadline(ctx context.Context, t *testing.T, method, url string, deadline time.Duration) (int, string, time.Duration) {
 	begin := time.Now()
 	req, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader("order"))
 	assert.NilError(t, err)
 	req.Host = "h"
-	req.Header.Set(names.RequestID, "r1")
-	req.Header.Set(names.Deadline, strconv.FormatInt(deadline.Milliseconds(), 10))
+	req.Header.Set(headerNames.RequestID, "r1")
+	req.Header.Set(headerNames.Deadline, strconv.FormatInt(deadline.Milliseconds(), 10))
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
 		return 0, err.Error(), time.Since(begin)
@@ -215,39 +217,38 @@
 	return resp.StatusCode, string(body), time.Since(begin)
 }
 
-// Callers reach a process that has just started before it knows the configuration: they
-// wait a moment and are served.
-func TestAFreshProcessWaitsForItsFirstConfiguration(t *testing.T) {
-	const late = 50 * time.Millisecond
-	b := newBackend(t, answer(http.StatusOK))
-	url, _, _ := launch(t, 200*time.Millisecond, &storeOf{document: routes(), late: late}, b)
-	status, body, took := ask(t.Context(), t, "POST", url+"/buy/1")
+// Requests that arrive before a new process has its configuration wait for it and are served.
+func TestNewProcessWaitsForFirstConfiguration(t *testing.T) {
+	const delay = 50 * time.Millisecond
+	b := newBackend(t, respondWith(http.StatusOK))
+	url, _, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument(), snapshotDelay: delay}, b)
+	status, body, took := sendRequest(t.Context(), t, "POST", url+"/buy/1")
 	assert.Equal(t, status, http.StatusOK, body)
-	assert.Assert(t, took < stateWait)
+	assert.Assert(t, took < initialStateTimeout)
 }
 
-// Where no configuration comes, callers are told soon.
-func TestAFreshProcessDoesNotWaitForLong(t *testing.T) {
-	url, _, _ := launch(t, 200*time.Millisecond, &storeOf{document: routes(), late: time.Second}, newBackend(t, answer(http.StatusOK)))
-	status, _, took := ask(t.Context(), t, "POST", url+"/buy/1")
+// Requests are refused soon if the configuration does not arrive.
+func TestNewProcessRefusesWithoutConfiguration(t *testing.T) {
+	url, _, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument(), snapshotDelay: time.Second}, newBackend(t, respondWith(http.StatusOK)))
+	status, _, took := sendRequest(t.Context(), t, "POST", url+"/buy/1")
 	assert.Equal(t, status, http.StatusServiceUnavailable)
-	assert.Assert(t, took < stateWait+100*time.Millisecond, "%v", took)
+	assert.Assert(t, took < initialStateTimeout+100*time.Millisecond, "%v", took)
 }
 
-// A stopping instance serves what it can end in time and refuses the rest: callers may
-// have no time to come again.
-func TestAStoppingInstanceServesWhatItCanEnd(t *testing.T) {
+// A stopping instance serves requests that end in time and refuses the rest, as refused
+// callers may have no time left to retry.
+func TestStoppingInstanceServesRequestsThatEndInTime(t *testing.T) {
 	const grace, short, long = time.Second, 100 * time.Millisecond, 900 * time.Millisecond
-	b := newBackend(t, answer(http.StatusOK))
-	url, stop := startGatewayFor(t, grace, b)
-	kept, _, _ := askWithin(t.Context(), t, "POST", url+"/buy/1", long)
-	assert.Equal(t, kept, http.StatusOK)
+	b := newBackend(t, respondWith(http.StatusOK))
+	url, stop := startGatewayWithGrace(t, grace, b)
+	before, _, _ := sendRequestWithDeadline(t.Context(), t, "POST", url+"/buy/1", long)
+	assert.Equal(t, before, http.StatusOK)
 	stop()
-	time.Sleep(time.Duration((refuseFrom + 0.05) * float64(grace)))
-	// A connection of its own for each: the first answer closes its connection.
-	ended, _, _ := askWithin(t.Context(), t, "POST", url+"/buy/1", short)
-	assert.Equal(t, ended, http.StatusOK)
-	refused, body, _ := askWithin(t.Context(), t, "POST", url+"/buy/1", long)
+	time.Sleep(time.Duration((refuseFraction + 0.05) * float64(grace)))
+	// The first response closes its connection, so each request has its own.
+	served, _, _ := sendRequestWithDeadline(t.Context(), t, "POST", url+"/buy/1", short)
+	assert.Equal(t, served, http.StatusOK)
+	refused, body, _ := sendRequestWithDeadline(t.Context(), t, "POST", url+"/buy/1", long)
 	assert.Equal(t, refused, http.StatusServiceUnavailable, body)
 }
 
@@ -260,30 +261,30 @@
 	return n
 }
 
-func TestAttemptsStayWithinTheRoute(t *testing.T) {
+func TestAttemptsLimitedByRoute(t *testing.T) {
 	var bs []*backend
 	for range 5 {
-		bs = append(bs, newBackend(t, answer(http.StatusInternalServerError)))
+		bs = append(bs, newBackend(t, respondWith(http.StatusInternalServerError)))
 	}
 	url := startGateway(t, bs...)
-	status, body, _ := ask(t.Context(), t, "GET", url+"/get/1")
+	status, body, _ := sendRequest(t.Context(), t, "GET", url+"/get/1")
 	assert.Equal(t, status, http.StatusInternalServerError)
-	assert.Equal(t, body, "whole", "the target's own answer")
+	assert.Equal(t, body, "whole", "the target's own response")
 	assert.Equal(t, totalRuns(bs...), 2)
-	status, _, _ = ask(t.Context(), t, "POST", url+"/buy/1")
+	status, _, _ = sendRequest(t.Context(), t, "POST", url+"/buy/1")
 	assert.Equal(t, status, http.StatusInternalServerError)
 	assert.Equal(t, totalRuns(bs...), 3)
 }
 
-func TestTheRouteTimeoutEndsTheWait(t *testing.T) {
+func TestRouteTimeoutEndsRequest(t *testing.T) {
 	b := newBackend(t, hang)
 	url := startGateway(t, b)
-	status, _, took := ask(t.Context(), t, "POST", url+"/buy/1")
+	status, _, took := sendRequest(t.Context(), t, "POST", url+"/buy/1")
 	assert.Equal(t, status, http.StatusGatewayTimeout)
 	assert.Assert(t, took >= routeTimeout && took < routeTimeout+500*time.Millisecond, took)
 }
 
-func TestALeavingCallerEndsOnlyRepeatableWork(t *testing.T) {
+func TestCallerDisconnectCancelsOnlyRepeatableRequests(t *testing.T) {
 	for _, tc := range []struct {
 		method, path string
 		abandoned    int
@@ -292,44 +293,44 @@
 			select {
 			case <-r.Context().Done():
 			case <-time.After(250 * time.Millisecond):
-				answer(http.StatusOK)(w, r)
+				respondWith(http.StatusOK)(w, r)
 			}
 		})
 		url := startGateway(t, b)
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(100*time.Millisecond, cancel)
-		status, _, _ := ask(ctx, t, tc.method, url+tc.path)
+		status, _, _ := sendRequest(ctx, t, tc.method, url+tc.path)
 		assert.Equal(t, status, 0)
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
-			if _, ended, _ := b.counts(); ended == 1 {
+			if _, finished, _ := b.counts(); finished == 1 {
 				return poll.Success()
 			}
-			return poll.Continue("still at work")
+			return poll.Continue("the backend is still running the request")
 		}, poll.WithTimeout(3*time.Second), poll.WithDelay(5*time.Millisecond))
 		_, _, abandoned := b.counts()
 		assert.Equal(t, abandoned, tc.abandoned, tc.path)
 	}
 }
 
-func TestASuccessWithoutProofIsNone(t *testing.T) {
+func TestUnsealedSuccessNotForwarded(t *testing.T) {
 	b := newBackend(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "forged") })
 	url := startGateway(t, b)
-	status, body, _ := ask(t.Context(), t, "POST", url+"/buy/1")
+	status, body, _ := sendRequest(t.Context(), t, "POST", url+"/buy/1")
 	assert.Equal(t, status, http.StatusBadGateway)
 	assert.Assert(t, !strings.Contains(body, "forged"))
 }
 
-func TestARefusalWithoutProofIsNotPassedOn(t *testing.T) {
+func TestUnprovenRefusalNotForwarded(t *testing.T) {
 	for _, status := range []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout} {
-		b := newBackend(t, answer(status))
+		b := newBackend(t, respondWith(status))
 		url := startGateway(t, b)
-		got, _, _ := ask(t.Context(), t, "POST", url+"/buy/1")
+		got, _, _ := sendRequest(t.Context(), t, "POST", url+"/buy/1")
 		assert.Equal(t, got, http.StatusBadGateway, "the target may have run it")
 	}
 }
 
-func TestIdleConnectionsFollowTheLimit(t *testing.T) {
-	url := startGateway(t, newBackend(t, answer(http.StatusOK)))
+func TestIdleConnectionsClosedAtIdleTimeout(t *testing.T) {
+	url := startGateway(t, newBackend(t, respondWith(http.StatusOK)))
 	conn, err := net.Dial("tcp4", strings.TrimPrefix(url, "http://"))
 	assert.NilError(t, err)
 	defer conn.Close()
@@ -343,8 +344,8 @@
 	assert.Assert(t, idle >= idleTimeout-50*time.Millisecond && idle < idleTimeout+time.Second, idle)
 }
 
-func TestBodiesAreBounded(t *testing.T) {
-	b := &Bodies{Bound: 100 << 10}
+func TestBodiesBounded(t *testing.T) {
+	b := &Bodies{MaxBytes: 100 << 10}
 	body, err := b.Read(strings.NewReader("12345"), 5, 10)
 	assert.NilError(t, err)
 	assert.Equal(t, string(body), "12345")
@@ -354,56 +355,55 @@
 	assert.ErrorIs(t, err, errBodyTooLarge)
 	_, err = b.Read(strings.NewReader(strings.Repeat("x", 200<<10)), -1, 1<<20)
 	assert.ErrorIs(t, err, errBodiesFull)
-	assert.Equal(t, b.held.Load(), int64(5))
+	assert.Equal(t, b.heldBytes.Load(), int64(5))
 	b.Release(5)
-	assert.Equal(t, b.held.Load(), int64(0))
+	assert.Equal(t, b.heldBytes.Load(), int64(0))
 }
 
-// Work that must not repeat goes on at its target when the caller has left, but if
-// that target refuses it, it goes nowhere else.
-func TestNothingIsBegunForACallerThatLeft(t *testing.T) {
+// A non-repeatable request goes on at its target after the caller has disconnected, but
+// is not retried if that target refuses it.
+func TestNoRetryAfterCallerDisconnects(t *testing.T) {
 	refuse := func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(200 * time.Millisecond)
-		w.Header().Set(names.NotRun, "1")
+		w.Header().Set(headerNames.NotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	bs := []*backend{newBackend(t, refuse), newBackend(t, refuse), newBackend(t, refuse)}
 	url := startGateway(t, bs...)
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(50*time.Millisecond, cancel)
-	status, _, _ := ask(ctx, t, "POST", url+"/buy/1")
+	status, _, _ := sendRequest(ctx, t, "POST", url+"/buy/1")
 	assert.Equal(t, status, 0)
 	time.Sleep(400 * time.Millisecond)
 	assert.Equal(t, totalRuns(bs...), 1)
 }
 
-// An instance may have lost the paths to most targets: it goes on to those that it
-// reaches.
-func TestTargetsOutOfReachArePassedOver(t *testing.T) {
-	sound := newBackend(t, answer(http.StatusOK))
-	bs := []*backend{sound}
+// An instance that has lost its paths to most targets tries others until it reaches one.
+func TestUnreachableTargetsSkipped(t *testing.T) {
+	healthy := newBackend(t, respondWith(http.StatusOK))
+	bs := []*backend{healthy}
 	for range 9 {
-		gone := newBackend(t, answer(http.StatusOK))
-		gone.Close() // its address refuses connections
-		bs = append(bs, gone)
+		unreachable := newBackend(t, respondWith(http.StatusOK))
+		unreachable.Close() // its address refuses connections
+		bs = append(bs, unreachable)
 	}
 	url := startGateway(t, bs...)
-	status, _, _ := ask(t.Context(), t, "POST", url+"/buy/1")
+	status, _, _ := sendRequest(t.Context(), t, "POST", url+"/buy/1")
 	assert.Equal(t, status, http.StatusOK)
 }
 
-// TestHeadersAreBoundedByTheDocument: the operator's limit had no effect, and headers of more than 64 KB were refused though it
-// allowed them.
-func TestHeadersAreBoundedByTheDocument(t *testing.T) {
-	doc := routes()
+// The document's header limit applies instead of a fixed limit, which refused headers of
+// more than 64 KB even if the document allowed them.
+func TestHeaderLimitFromDocument(t *testing.T) {
+	doc := testDocument()
 	doc.Limits.HeaderBytes = 100 << 10
-	url, g, _ := launch(t, 200*time.Millisecond, &storeOf{document: doc}, newBackend(t, answer(http.StatusOK)))
+	url, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: doc}, newBackend(t, respondWith(http.StatusOK)))
 	waitReady(t, g)
 	for size, want := range map[int]int{1 << 10: http.StatusOK, 90 << 10: http.StatusOK, 101 << 10: http.StatusRequestHeaderFieldsTooLarge} {
 		req, err := http.NewRequest(http.MethodGet, url+"/get/a", http.NoBody)
 		assert.NilError(t, err)
 		req.Host = "h"
-		req.Header.Set(names.RequestID, "r1")
+		req.Header.Set(headerNames.RequestID, "r1")
 		req.Header.Set("X-Large", strings.Repeat("x", size))
 		resp, err := http.DefaultTransport.RoundTrip(req)
 		assert.NilError(t, err)
--- a/gateway/knowledge_test.go
+++ b/gateway/knowledge_test.go
@@ -42,7 +42,7 @@
 // spendable is how many attempts the instance may add.
 func spendable(k *Knowledge, now time.Time) int {
 	for n := 0; ; n++ {
-		if _, ok := k.Spend(now, "s", true); !ok {
+		if _, ok := k.SpendBudget(now, "s", true); !ok {
 			return n
 		}
 	}
@@ -69,16 +69,16 @@
 // An instance whose callers meet all the failures has the use of what its neighbours leave.
 func TestAnInstanceThatIsShortBorrows(t *testing.T) {
 	var ks []*Knowledge
-	for range 1 + lenders {
+	for range 1 + loanPeers {
 		k := newKnowledge()
 		k.Count(start, mesh.View{PeerCount: 5})
 		ks = append(ks, k)
 	}
 	short := ks[0]
 	spendable(short, start)
-	asks := short.Short(start, "s")
+	asks := short.LoanRequests(start, "s")
 	assert.Equal(t, len(asks), 1)
-	assert.Assert(t, short.Short(start, "s") == nil, "not again at once")
+	assert.Assert(t, short.LoanRequests(start, "s") == nil, "not again at once")
 	for _, k := range ks[1:] {
 		before := k.service("s").budget.Available(start, 6)
 		loans := k.Lend(start, "short", asks)
@@ -86,7 +86,7 @@
 		assert.Assert(t, k.service("s").budget.Available(start, 6) < before)
 	}
 	assert.Equal(t, spendable(short, start), 1)
-	assert.Assert(t, short.Short(start.Add(askEvery), "s") != nil)
+	assert.Assert(t, short.LoanRequests(start.Add(loanRequestInterval), "s") != nil)
 }
 
 func TestLoadOfPeersIsReplacedAndLapses(t *testing.T) {
--- a/gateway/learn.go
+++ b/gateway/learn.go
@@ -13,9 +13,9 @@
 )
 
 // learn takes in what an attempt's end says of its target.
-func (c *call) learn(e ended) {
+func (c *call) learn(e attemptResult) {
 	began := time.Now().Add(-e.result.Took)
-	c.h.Metrics.Attempt(c.service, e.result.Kind)
+	c.h.Metrics.CountAttempt(c.service, e.result.Kind)
 	c.learnContent(e, began)
 	c.learnRate(e, began)
 	if e.result.Reused && e.result.Answer != nil {
@@ -64,7 +64,7 @@
 func failed(r *exchange.Result) bool {
 	switch r.Kind {
 	case exchange.Answered:
-		return r.Answer.Status >= http.StatusInternalServerError || !passable(r.Answer)
+		return r.Answer.Status >= http.StatusInternalServerError || !forwardable(r.Answer)
 	case exchange.Broken, exchange.Overdue:
 		return true
 	}
@@ -94,8 +94,8 @@
 	c.h.Knowledge.Observe(now, c.service, p.ID, o, began, took)
 	switch {
 	case o != suspicion.Success || p.Doubtful:
-		c.h.Tell(c.h.Knowledge.News(now, p.ID))
+		c.h.SendUpdate(c.h.Knowledge.News(now, p.ID))
 	case p.crowded():
-		c.tellLoad(p)
+		c.sendLoad(p)
 	}
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -14,51 +14,51 @@
 	"github.com/clementinereel/clementinereel/telemetry"
 )
 
-// Metrics counts what the gateway does.
+// Metrics are the metrics of an instance.
 type Metrics struct {
 	Registry *telemetry.Registry
 	// BudgetRefused counts attempts that the retry budget did not allow.
 	BudgetRefused metrics.Counter
-	// ContentsRefused counts requests that were refused since they crash their targets.
+	// ContentsRefused counts requests that were refused because they crash their targets.
 	ContentsRefused metrics.Counter
 }
 
-// NewMetrics returns metrics that have counted nothing.
+// NewMetrics returns metrics with all counters at zero.
 func NewMetrics() *Metrics {
 	r := telemetry.NewRegistry()
 	return &Metrics{Registry: r, BudgetRefused: r.Counter("gateway.budget.refused"), ContentsRefused: r.Counter("gateway.contents.refused")}
 }
 
-// Request records an answered request; status 0 is a caller that left.
-func (m *Metrics) Request(c *call, status int, took time.Duration) {
+// CountRequest records a finished request; status 0 means that the caller disconnected.
+func (m *Metrics) CountRequest(c *call, status int, took time.Duration) {
 	m.Registry.Request("", c.class(), status, took)
 	m.Registry.Counter("gateway.requests", telemetry.Label{Key: "service", Value: string(c.service)},
 		telemetry.Label{Key: "class", Value: c.class().String()}, telemetry.Label{Key: "status", Value: strconv.Itoa(status)}).Inc(1)
 }
 
-// Attempt counts an attempt's end.
-func (m *Metrics) Attempt(s document.ServiceName, k exchange.Kind) {
+// CountAttempt counts a finished attempt.
+func (m *Metrics) CountAttempt(s document.ServiceName, k exchange.Kind) {
 	m.Registry.Counter("gateway.attempts", telemetry.Label{Key: "service", Value: string(s)},
 		telemetry.Label{Key: "kind", Value: k.String()}).Inc(1)
 }
 
-// RateRefused counts a field of a target that names no rate.
-func (m *Metrics) RateRefused(c targetrate.Cause) {
+// CountRateRefused counts a rate header field of a target that is not a valid rate.
+func (m *Metrics) CountRateRefused(c targetrate.Cause) {
 	m.Registry.Counter("gateway.rates.refused", telemetry.Label{Key: "cause", Value: string(c)}).Inc(1)
 }
 
-// AdviceRefused counts a field by which a target says something of itself, and that says nothing.
-func (m *Metrics) AdviceRefused(field string) {
+// CountAdviceRefused counts an invalid header field by which a target reports its own state.
+func (m *Metrics) CountAdviceRefused(field string) {
 	m.Registry.Counter("gateway.advice.refused", telemetry.Label{Key: "field", Value: field}).Inc(1)
 }
 
-// Token counts a request at a target that names a rate: whether the rate allowed it.
-func (m *Metrics) Token(granted bool) {
+// CountToken counts a request for a target with a rate, by whether the rate allowed it.
+func (m *Metrics) CountToken(granted bool) {
 	m.Registry.Counter("gateway.rates.tokens", telemetry.Label{Key: "granted", Value: strconv.FormatBool(granted)}).Inc(1)
 }
 
-// set brings the gauges up to date.
-func (m *Metrics) set(g *Gateway) {
+// updateGauges updates all gauges.
+func (m *Metrics) updateGauges(g *Gateway) {
 	version, position := g.state.Versions()
 	gauge := func(name string, v int64) { m.Registry.Gauge(name).Update(v) }
 	gauge("gateway.document.version", int64(version))
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -78,7 +78,7 @@
 		k.dropLoad(pr)
 	}
 	pr.takeLoad(now, k, p.Load, known)
-	k.borrow(now, p.Loans)
+	k.applyLoans(now, p.Loans)
 }
 
 // takeLoad takes in the peer's load at some targets. Where it is higher than what was known
--- a/gateway/poison_test.go
+++ b/gateway/poison_test.go
@@ -28,7 +28,7 @@
 		perRound    = 20 * time.Millisecond
 	)
 	for name, fails := range map[string]func(http.ResponseWriter, *http.Request){
-		"answered 500": answer(http.StatusInternalServerError),
+		"answered 500": respondWith(http.StatusInternalServerError),
 		"hangs":        func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
 		"breaks":       func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 	} {
@@ -43,10 +43,10 @@
 						fails(w, r)
 						return
 					}
-					answer(http.StatusOK)(w, r)
+					respondWith(http.StatusOK)(w, r)
 				}))
 			}
-			url, g, _ := launch(t, 200*time.Millisecond, &storeOf{document: routes()}, bs...)
+			url, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, bs...)
 			waitReady(t, g)
 			poison := &quarantine.Content{Method: "GET", Host: "h", URI: "/get/poison", Body: []byte("order")}
 			rounds, most := 0, 0
@@ -54,10 +54,10 @@
 			for begin := time.Now(); clear.IsZero() && time.Since(begin) < learnsIn || time.Since(clear) < lasts; time.Sleep(perRound) {
 				rounds++
 				for m := range targets {
-					status, _, _ := ask(t.Context(), t, "GET", fmt.Sprint(url, "/get/", rounds, "-", m))
+					status, _, _ := sendRequest(t.Context(), t, "GET", fmt.Sprint(url, "/get/", rounds, "-", m))
 					assert.Equal(t, status, http.StatusOK)
 				}
-				ask(t.Context(), t, "GET", url+"/get/poison")
+				sendRequest(t.Context(), t, "GET", url+"/get/poison")
 				suspects := g.knowledge.Suspects()["s"]
 				switch {
 				case !clear.IsZero():
--- a/gateway/ratenews.go
+++ b/gateway/ratenews.go
@@ -18,7 +18,7 @@
 func (rs *Rates) hear(now time.Time, p *mesh.Packet, r mesh.TargetRate) {
 	n, err := heardNaming(now, r)
 	if err != nil {
-		rs.metrics.RateRefused(targetrate.OutOfRange)
+		rs.metrics.CountRateRefused(targetrate.OutOfRange)
 		return
 	}
 	change := rs.table.Apply(now, n)
@@ -77,7 +77,7 @@
 }
 
 // learnRate takes in what an attempt's end says of its target's rate.
-func (c *call) learnRate(e ended, began time.Time) {
+func (c *call) learnRate(e attemptResult, began time.Time) {
 	if e.result.Answer == nil || c.h.Rates == nil {
 		return
 	}
@@ -99,10 +99,10 @@
 func vouched(r *exchange.Result) bool { return r.Answer.Sealed || r.Kind == exchange.Refused }
 
 // refuseRate notes that what a target named is no rate.
-func (c *call) refuseRate(e ended, err error) {
+func (c *call) refuseRate(e attemptResult, err error) {
 	var refused *targetrate.RefusedError
 	if errors.As(err, &refused) {
-		c.h.Metrics.RateRefused(refused.Cause)
+		c.h.Metrics.CountRateRefused(refused.Cause)
 	}
 	eventlog.Info(eventlog.RateRefused, "request", c.id, "service", c.service, "target", e.placed.ID, "why", err.Error(), "in_force", c.h.Rates.table.Rate(e.placed.ID))
 }
--- a/gateway/rates.go
+++ b/gateway/rates.go
@@ -209,10 +209,10 @@
 	}
 	backlog := r.note(now) * float64(instances)
 	if takes == 0 {
-		return comeBack
+		return minRetryAfter
 	}
 	spread := min(time.Duration(backlog/takes*float64(time.Second)), comeBackMost)
-	return comeBack + rand.N(spread+1)
+	return minRetryAfter + rand.N(spread+1)
 }
 
 // slots is how many requests a target works on at once, as far as its rate allows. Each takes as long as
@@ -248,7 +248,7 @@
 	default:
 		wait, granted = rs.ask(ctx, holder, id, urgent)
 	}
-	rs.metrics.Token(granted)
+	rs.metrics.CountToken(granted)
 	if !granted {
 		rs.table.Deny(now, id, wait)
 	}
--- a/gateway/rates_test.go
+++ b/gateway/rates_test.go
@@ -369,12 +369,12 @@
 }
 
 // answerOf is an attempt's end with the given fields of the answer.
-func answerOf(kind exchange.Kind, status int, sealed bool, rates ...string) ended {
+func answerOf(kind exchange.Kind, status int, sealed bool, rates ...string) attemptResult {
 	h := http.Header{}
 	for _, r := range rates {
 		h.Add("Rate", r)
 	}
-	return ended{placed: Placed{Target: &registry.Target{Entry: registry.Entry{ID: "t-0-0"}}},
+	return attemptResult{placed: Placed{Target: &registry.Target{Entry: registry.Entry{ID: "t-0-0"}}},
 		result: exchange.Result{Kind: kind, Answer: &exchange.Answer{Status: status, Header: h, Sealed: sealed}}}
 }
 
@@ -383,7 +383,7 @@
 func TestWhatMaySetARate(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		e    ended
+		e    attemptResult
 		want targetrate.Rate
 	}{
 		{"sealed", answerOf(exchange.Answered, 200, true, "3"), 3},
--- a/gateway/reuse_test.go
+++ b/gateway/reuse_test.go
@@ -56,8 +56,8 @@
 func TestConnectionsThatAreForgottenAreNotTrustedAgain(t *testing.T) {
 	b := new(backend)
 	b.Server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set(names.RequestID, r.Header.Get(names.RequestID))
-		answer(http.StatusOK)(w, r)
+		w.Header().Set(headerNames.RequestID, r.Header.Get(headerNames.RequestID))
+		respondWith(http.StatusOK)(w, r)
 	}))
 	b.Listener = forgetfulListener{b.Listener}
 	b.Start()
@@ -65,7 +65,7 @@
 	url := startGateway(t, b)
 	lost := 0
 	for range 8 {
-		status, _, _ := ask(t.Context(), t, "POST", url+"/buy/1")
+		status, _, _ := sendRequest(t.Context(), t, "POST", url+"/buy/1")
 		if status != http.StatusOK {
 			lost++
 		}
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -13,11 +13,11 @@
 	"github.com/clementinereel/clementinereel/retry/pooled"
 )
 
-// Settings are what differs between deployments of the gateway.
+// Settings are the deployment-specific settings of an instance.
 type Settings struct {
 	// Instance is the instance's name in logs. Required.
 	Instance string
-	// Zone is the availability zone that it runs in. Required.
+	// Zone is the availability zone of the instance. Required.
 	Zone fleet.Zone
 	// Listen is the IP address and port for callers. Required.
 	Listen string
@@ -29,43 +29,42 @@
 	// PeerListen is the IP address and port for other instances, by TCP and UDP.
 	// Required.
 	PeerListen string
-	// Seeds are peer addresses of instances that may run. Default: none.
+	// Seeds are the peer addresses of instances to contact first; they need not be running.
+	// Default: none.
 	Seeds []string
-	// Headers names the header fields. All are required.
+	// Headers are the names of the header fields. All but Rate and Leaving are required.
 	Headers exchange.Headers
-	// Retry bounds the attempts that the fleet adds to its requests.
+	// Retry bounds the retries and hedges of the fleet.
 	Retry pooled.Config
-	// Grace is the time from the request to stop until the process is ended.
+	// Grace is the time between the stop signal and the forced end of the process.
 	// Default 6 s.
 	Grace time.Duration
-	// LeaveWithin is the time within which a target that has gone must get no more
-	// work. Default 2 s.
-	LeaveWithin time.Duration
-	// MemoryBytes is what the process may use. Default 256 MiB.
+	// RemovalTimeout is the time within which a removed target must stop receiving
+	// requests. Default 2 s.
+	RemovalTimeout time.Duration
+	// MemoryBytes is the memory that the process may use. Default 256 MiB.
 	MemoryBytes int64
-	// LinkBytes is what the instance's link carries, in bytes a second; news of targets
-	// to other instances takes a part of it. Default mesh.DefaultLinkBytes.
+	// LinkBytes is the bandwidth of the instance's network link in bytes per second.
+	// Updates to other instances use a part of it. Default mesh.DefaultLinkBytes.
 	LinkBytes int64
-	// Weights are the costs that placement weighs. Default:
-	// placement.DefaultWeights.
+	// Weights are the weights of the placement costs. Default: placement.DefaultWeights.
 	Weights placement.Weights
 }
 
 // Defaults of Settings.
 const (
-	DefaultGrace       = 6 * time.Second
-	DefaultLeaveWithin = 2 * time.Second
-	DefaultMemoryBytes = 256 << 20
+	DefaultGrace          = 6 * time.Second
+	DefaultRemovalTimeout = 2 * time.Second
+	DefaultMemoryBytes    = 256 << 20
 )
 
-// Complete fills in defaults and returns an error that names the first field that
-// is wrong.
+// Complete sets defaults and returns an error that names the first invalid field.
 func (s *Settings) Complete() error {
 	if s.Grace == 0 {
 		s.Grace = DefaultGrace
 	}
-	if s.LeaveWithin == 0 {
-		s.LeaveWithin = DefaultLeaveWithin
+	if s.RemovalTimeout == 0 {
+		s.RemovalTimeout = DefaultRemovalTimeout
 	}
 	if s.MemoryBytes == 0 {
 		s.MemoryBytes = DefaultMemoryBytes
@@ -114,17 +113,18 @@
 		return errors.Errorf("retry.window: %v is not positive", s.Retry.Window)
 	case s.Grace <= 0:
 		return errors.Errorf("grace: %v is not positive", s.Grace)
-	case s.LeaveWithin <= 0:
-		return errors.Errorf("leave within: %v is not positive", s.LeaveWithin)
+	case s.RemovalTimeout <= 0:
+		return errors.Errorf("leave within: %v is not positive", s.RemovalTimeout)
 	case s.Weights.Homes <= 0:
 		return errors.Errorf("weights.homes: %v is not positive", s.Weights.Homes)
 	case s.LinkBytes < 0:
 		return errors.Errorf("link bytes: %d is negative", s.LinkBytes)
-	case s.MemoryBytes < minMemory:
-		return errors.Errorf("memory bytes: %d is below %d", s.MemoryBytes, minMemory)
+	case s.MemoryBytes < minMemoryBytes:
+		return errors.Errorf("memory bytes: %d is below %d", s.MemoryBytes, minMemoryBytes)
 	}
 	return nil
 }
 
-// minMemory is what the program needs beside its load, with room for bodies.
-const minMemory = 64 << 20
+// minMemoryBytes is the memory that the process needs without load, and some for request
+// bodies.
+const minMemoryBytes = 64 << 20
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -6,44 +6,45 @@
 	"github.com/clementinereel/clementinereel/eventlog"
 )
 
-// The steps of a graceful stop, as parts of the grace period.
+// Phases of a graceful stop, as fractions of the grace period.
 const (
-	// leastStay is how long new connections may still come: the balancer asks
-	// once a second and takes an instance out after two misses.
-	leastStay = 0.45
-	// refuseFrom is from when on requests are refused that may take until after the
-	// end, so that what was taken can end in time; by then kept connections had an
-	// answer that closed them.
-	refuseFrom = 0.6
-	// endBy is when the process ends, whatever still runs.
-	endBy = 0.96
-	// stopPoll is how often the stop looks whether all is done.
-	stopPoll = 25 * time.Millisecond
+	// minListenFraction is how long new connections are accepted at least: the balancer
+	// checks readiness once a second and removes an instance after two failures.
+	minListenFraction = 0.45
+	// refuseFraction is when the instance begins to refuse requests whose deadline is after
+	// its end, so that accepted requests can finish in time. By then, kept-alive
+	// connections have had a response that closed them.
+	refuseFraction = 0.6
+	// endFraction is when the process ends, even if requests are still running.
+	endFraction = 0.96
+	// stopPollInterval is the interval at which stop checks for open connections.
+	stopPollInterval = 25 * time.Millisecond
 )
 
-// stop lets callers go elsewhere and waits for what runs.
+// stop announces that the instance is leaving, waits for running requests and closes the
+// server for callers.
 func (g *Gateway) stop() {
 	start := time.Now()
 	at := func(part float64) time.Time { return start.Add(time.Duration(part * float64(g.settings.Grace))) }
-	open, busy := g.front.counts()
+	open, busy := g.callerServer.connCounts()
 	eventlog.Info(eventlog.Stopping, "grace_ms", g.settings.Grace.Milliseconds(), "connections", open, "busy", busy)
-	g.leaving.Store(true)
-	g.handler.Leave()
+	g.stopping.Store(true)
+	g.handler.DisableKeepAlive()
 	g.rates.Leave()
 	g.node.Leave()
 	refused := false
-	for time.Now().Before(at(endBy)) {
-		time.Sleep(stopPoll)
-		if !refused && time.Now().After(at(refuseFrom)) {
+	for time.Now().Before(at(endFraction)) {
+		time.Sleep(stopPollInterval)
+		if !refused && time.Now().After(at(refuseFraction)) {
 			refused = true
-			g.handler.RefuseBeyond(at(endBy))
+			g.handler.RefuseDeadlinesAfter(at(endFraction))
 		}
-		if open, _ := g.front.counts(); open == 0 && time.Now().After(at(leastStay)) {
+		if open, _ := g.callerServer.connCounts(); open == 0 && time.Now().After(at(minListenFraction)) {
 			break
 		}
 	}
-	g.logUses()
-	open, busy = g.front.counts()
-	_ = g.front.server.Close() // the process ends in any case
+	g.logConnectionUses()
+	open, busy = g.callerServer.connCounts()
+	_ = g.callerServer.server.Close() // the process ends regardless of an error
 	eventlog.Info(eventlog.Stopped, "after_ms", time.Since(start).Milliseconds(), "connections_closed", open, "busy_cut", busy)
 }
