--- a/gateway/advice.go
+++ b/gateway/advice.go
@@ -13,112 +13,113 @@
 	"github.com/clementinereel/clementinereel/registry"
 )
 
-// This file takes in what targets say of themselves in the heads of their answers, and what other instances
-// were told.
+// This file handles advice: what targets announce about themselves in response headers, and what
+// other instances report of it.
 
 const (
-	// leavingValue is what a target that leaves sets its field to.
+	// leavingValue is the value of the header by which a target announces that it leaves.
 	leavingValue = "1"
-	// departuresInPacket bounds the departures in one heartbeat, about 30 bytes each; which ones changes
-	// from one to the next.
-	departuresInPacket = 8
+	// maxDeparturesPerPacket bounds the departures in one heartbeat, about 30 bytes each. Each
+	// heartbeat has a random selection.
+	maxDeparturesPerPacket = 8
 )
 
-// heard takes in what the head of an answer says of its target.
-func (g *Gateway) heard(t exchange.Target, request string, h exchange.Head) {
-	g.heardLeaving(t, request, h)
-	g.heardRetryAfter(t, request, h)
+// handleResponseHeader handles the advice in a response header.
+func (g *Gateway) handleResponseHeader(t exchange.Target, request string, h exchange.Head) {
+	g.handleLeaving(t, request, h)
+	g.handleRetryAfter(t, request, h)
 }
 
-// heardLeaving takes in whether the target says that it leaves. An answer that does not name the request may
-// be another target's.
-func (g *Gateway) heardLeaving(t exchange.Target, request string, h exchange.Head) {
+// handleLeaving handles the header by which a target announces that it leaves. A response that does
+// not name the request is ignored, since it may come from another target.
+func (g *Gateway) handleLeaving(t exchange.Target, request string, h exchange.Head) {
 	name := g.settings.Headers.Leaving
 	fields := h.Header.Values(name)
 	switch {
 	case len(fields) == 0 || !h.Named:
-	case leaves(fields):
-		g.depart(registry.Departure{ID: t.ID, Born: t.Born})
+	case isLeaving(fields):
+		g.markLeaving(registry.Departure{ID: t.ID, Born: t.Born})
 	default:
-		g.refuseAdvice(t, request, name, fields)
+		g.rejectAdvice(t, request, name, fields)
 	}
 }
 
-// heardRetryAfter takes in for how long a target that turns the request away wants no others.
-func (g *Gateway) heardRetryAfter(t exchange.Target, request string, h exchange.Head) {
+// handleRetryAfter starts a backoff if a target rejected the request with a Retry-After.
+func (g *Gateway) handleRetryAfter(t exchange.Target, request string, h exchange.Head) {
 	if h.Status != http.StatusServiceUnavailable && h.Status != http.StatusTooManyRequests {
 		return
 	}
-	lasts, err := header.ParseRetryAfter(h.Header, time.Now(), longestBackoff)
+	duration, err := header.ParseRetryAfter(h.Header, time.Now(), maxBackoff)
 	if err != nil {
-		g.refuseAdvice(t, request, header.RetryAfter, h.Header.Values(header.RetryAfter))
+		g.rejectAdvice(t, request, header.RetryAfter, h.Header.Values(header.RetryAfter))
 		return
 	}
-	if lasts > 0 {
-		g.backOff(t, lasts)
+	if duration > 0 {
+		g.backOff(t, duration)
 	}
 }
 
-// backOff backs off from a target that turned this instance away, and tells the others of the zone that mostly use
-// it: each of them would have to be turned away too to learn it.
-func (g *Gateway) backOff(t exchange.Target, lasts time.Duration) {
+// backOff starts a backoff from a target that rejected a request of this instance, and reports it to
+// the instances of the zone that mostly use the target: each of them would otherwise have to be
+// rejected first.
+func (g *Gateway) backOff(t exchange.Target, duration time.Duration) {
 	targets := g.state.Targets()
 	rt := targets.Target(t.ID)
-	if rt == nil || at(rt) != t || !g.knowledge.TurnedAway(time.Now(), rt.Service, t.ID, lasts) {
+	if rt == nil || at(rt) != t || !g.knowledge.RecordBackoff(time.Now(), rt.Service, t.ID, duration) {
 		return
 	}
-	concerned := func(addr string) bool { return g.knowledge.ConcernedBy(addr, rt, targets.Services[rt.Service]) }
-	g.node.SendBackoff(mesh.TargetBackoff{Target: t.ID, RemainingMillis: lasts.Milliseconds()}, concerned)
+	uses := func(addr string) bool { return g.knowledge.PrefersTarget(addr, rt, targets.Services[rt.Service]) }
+	g.node.SendBackoff(mesh.TargetBackoff{Target: t.ID, RemainingMillis: duration.Milliseconds()}, uses)
 }
 
-// refuseAdvice notes a field by which a target says something of itself, and that says nothing.
-func (g *Gateway) refuseAdvice(t exchange.Target, request, name string, fields []string) {
+// rejectAdvice counts and logs an invalid advice header.
+func (g *Gateway) rejectAdvice(t exchange.Target, request, name string, fields []string) {
 	g.metrics.CountAdviceRefused(name)
 	eventlog.Info(eventlog.AdviceRefused, "request", request, "target", t.ID, "field", name, "values", len(fields))
 }
 
-// leaves tells whether the fields by which a target says that it leaves say so.
-func leaves(fields []string) bool {
+// isLeaving reports whether all values of the header announce that the target leaves.
+func isLeaving(fields []string) bool {
 	return !slices.ContainsFunc(fields, func(f string) bool { return f != leavingValue })
 }
 
-// depart takes a target out of use that said to this instance that it leaves, before its answer goes on to
-// the caller, and tells the others.
-func (g *Gateway) depart(d registry.Departure) { g.takeAndTell(d, fromSelf) }
+// markLeaving takes a target out of use that announced to this instance that it leaves, before its
+// response is passed to the caller, and announces the departure.
+func (g *Gateway) markLeaving(d registry.Departure) { g.applyDeparture(d, fromSelf) }
 
-// takeAndTell takes in that a target leaves, or that this was lifted, and tells the others. It tells false if it
-// is no news.
-func (g *Gateway) takeAndTell(d registry.Departure, from string) bool {
-	news := g.state.Depart([]registry.Departure{d}, from)
-	if len(news) == 0 {
+// applyDeparture applies and announces that a target leaves, or that its departure was lifted. It
+// returns false if nothing changed.
+func (g *Gateway) applyDeparture(d registry.Departure, from string) bool {
+	changes := g.state.Depart([]registry.Departure{d}, from)
+	if len(changes) == 0 {
 		return false
 	}
-	g.node.AnnounceDepartures(news, true)
+	g.node.AnnounceDepartures(changes, true)
 	return true
 }
 
-// takeDepartures takes in what another instance tells of targets that leave. What is news from another zone
-// is passed on to the own one.
-func (g *Gateway) takeDepartures(p *mesh.Packet) {
+// handleDepartures applies the departures that another instance reported. Changes from another zone
+// are forwarded within this one.
+func (g *Gateway) handleDepartures(p *mesh.Packet) {
 	if len(p.Departures) == 0 {
 		return
 	}
-	news := g.state.Depart(p.Departures, p.Addr)
-	if len(news) > 0 && p.Zone != g.settings.Zone && !p.Relayed {
-		g.node.AnnounceDepartures(news, false)
+	changes := g.state.Depart(p.Departures, p.Addr)
+	if len(changes) > 0 && p.Zone != g.settings.Zone && !p.Relayed {
+		g.node.AnnounceDepartures(changes, false)
 	}
 }
 
-// fillDepartures puts into a packet some of the targets that leave of which others may not know.
+// fillDepartures adds some of the departures that other instances may not have received to a packet.
 func (g *Gateway) fillDepartures(now time.Time, p *mesh.Packet) {
 	ds := g.state.DeparturesToTell(now)
 	rand.Shuffle(len(ds), func(i, j int) { ds[i], ds[j] = ds[j], ds[i] })
-	p.Departures = ds[:min(len(ds), departuresInPacket)]
+	p.Departures = ds[:min(len(ds), maxDeparturesPerPacket)]
 }
 
-// admits tells whether a target may still get a request: it may have left, started again, moved or turned another request away
-// since it was chosen.
+// admits reports whether a target may still get a request: since it was chosen it may have left,
+// restarted, moved or rejected another request.
 func (g *Gateway) admits(t exchange.Target) bool {
 	rt := g.state.Targets().Target(t.ID)
-	return rt != nil && at(rt) == t && !g.knowledge.BacksOff(time.Now(), t.ID)
+	return rt != nil && at(rt) == t && !g.knowledge.InBackoff(time.Now(), t.ID)
 }
--- a/gateway/advice_test.go
+++ b/gateway/advice_test.go
@@ -19,36 +19,36 @@
 	"github.com/clementinereel/clementinereel/registry"
 )
 
-// TestWhoMaySayThatATargetLeaves: the field's one value, on any answer of the target to the request; what says nothing
-// changes nothing.
-func TestWhoMaySayThatATargetLeaves(t *testing.T) {
+// TestLeavingHeaderValues checks that a target leaves only if all values of the header are the
+// defined one.
+func TestLeavingHeaderValues(t *testing.T) {
 	cases := []struct {
 		name   string
 		fields []string
 		want   bool
 	}{
-		{"says so", []string{"1"}, true},
+		{"one", []string{"1"}, true},
 		{"twice", []string{"1", "1"}, true},
 		{"none", nil, false},
 		{"zero", []string{"0"}, false},
 		{"empty", []string{""}, false},
-		{"a word", []string{"true"}, false},
+		{"word", []string{"true"}, false},
 		{"both", []string{"1", "0"}, false},
 		{"long", []string{strings.Repeat("1", 1<<12)}, false},
 	}
-	backends := soundBackends(t, len(cases))
+	backends := healthyBackends(t, len(cases))
 	_, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, backends...)
 	waitReady(t, g)
 	for i, c := range cases {
 		id := fleet.TargetID(fmt.Sprint("t", i))
 		h := http.Header{headerNames.Leaving: c.fields}
-		g.heard(exchange.Target{ID: id}, "r", exchange.Head{Status: http.StatusOK, Header: h, Named: true})
+		g.handleResponseHeader(exchange.Target{ID: id}, "r", exchange.Head{Status: http.StatusOK, Header: h, Named: true})
 		assert.Equal(t, g.state.Targets().Target(id) == nil, c.want, c.name)
 	}
 }
 
-// soundBackends are targets that serve.
-func soundBackends(t *testing.T, n int) []*backend {
+// healthyBackends returns n targets that serve all requests.
+func healthyBackends(t *testing.T, n int) []*backend {
 	var backends []*backend
 	for range n {
 		backends = append(backends, newBackend(t, respondWith(http.StatusOK)))
@@ -56,18 +56,19 @@
 	return backends
 }
 
-// saysLeaving serves, and says that the target leaves.
-func saysLeaving(w http.ResponseWriter, r *http.Request) {
+// serveLeaving serves a request and announces that the target leaves.
+func serveLeaving(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(headerNames.Leaving, "1")
 	respondWith(http.StatusOK)(w, r)
 }
 
-// TestATargetThatSaysThatItLeavesIsNotChosenAgain: from its first answer on it gets nothing from the instance that got it, its
-// answer is passed on, and a service that has no other target refuses at once.
-func TestATargetThatSaysThatItLeavesIsNotChosenAgain(t *testing.T) {
-	leaver := newBackend(t, saysLeaving)
+// TestLeavingTargetIsNotChosenAgain checks that an instance sends nothing to a target after the first
+// response that announces its departure, that this response reaches the caller, and that a service
+// without another target refuses immediately.
+func TestLeavingTargetIsNotChosenAgain(t *testing.T) {
+	leaving := newBackend(t, serveLeaving)
 	elsewhere := registry.Entry{ID: "other", Service: "other", Addr: freeAddr(t), Zone: "a", Slots: 1}
-	url, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument(), entries: []registry.Entry{elsewhere}}, leaver)
+	url, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument(), entries: []registry.Entry{elsewhere}}, leaving)
 	waitReady(t, g)
 	status, body, _ := sendRequest(context.Background(), t, http.MethodGet, url+"/get/a")
 	assert.Equal(t, status, http.StatusOK)
@@ -77,29 +78,30 @@
 		assert.Equal(t, status, http.StatusServiceUnavailable)
 		assert.Assert(t, took < 100*time.Millisecond, took)
 	}
-	runs, _, _ := leaver.counts()
+	runs, _, _ := leaving.counts()
 	assert.Equal(t, runs, 1)
 }
 
-// TestNothingIsSentToATargetThatLeftSinceItWasChosen: another one gets the request, and it costs no retry budget.
-func TestNothingIsSentToATargetThatLeftSinceItWasChosen(t *testing.T) {
+// TestTargetThatLeavesAfterPlacementGetsNoRequest checks that another target gets the request and
+// that this uses no retry budget.
+func TestTargetThatLeavesAfterPlacementGetsNoRequest(t *testing.T) {
 	backends := []*backend{newBackend(t, respondWith(http.StatusOK)), newBackend(t, respondWith(http.StatusOK))}
 	url, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, backends...)
 	waitReady(t, g)
-	admits, left := g.client.Admit, make(chan exchange.Target, 1)
+	admits, departed := g.client.Admit, make(chan exchange.Target, 1)
 	g.client.Admit = func(target exchange.Target) bool {
 		select {
-		case left <- target:
-			g.depart(registry.Departure{ID: target.ID})
+		case departed <- target:
+			g.markLeaving(registry.Departure{ID: target.ID})
 		default:
 		}
 		return admits(target)
 	}
 	status, _, _ := sendRequest(context.Background(), t, http.MethodGet, url+"/get/a")
 	assert.Equal(t, status, http.StatusOK)
-	gone := <-left
+	left := <-departed
 	for i, b := range backends {
-		if fleet.TargetID(fmt.Sprint("t", i)) == gone.ID {
+		if fleet.TargetID(fmt.Sprint("t", i)) == left.ID {
 			runs, _, _ := b.counts()
 			assert.Equal(t, runs, 0)
 		}
@@ -108,26 +110,27 @@
 	assert.Equal(t, g.metrics.BudgetRefused.Count(), int64(0))
 }
 
-// TestWhichRetryAfterCounts: any refusal may, with or without a proof, for it is only this instance that leaves the target alone, and for
-// a bounded time; a process that has started since asked for nothing.
-func TestWhichRetryAfterCounts(t *testing.T) {
+// TestWhichResponsesStartBackoff checks that a 429 or 503 with a valid Retry-After starts a backoff.
+// It needs no seal, since only this instance backs off, and for a bounded time. A response of an
+// earlier process starts none, and a restart of the target ends the backoff.
+func TestWhichResponsesStartBackoff(t *testing.T) {
 	cases := []struct {
 		name   string
 		status int
 		fields []string
 		want   bool
 	}{
-		{"full", http.StatusServiceUnavailable, []string{"2"}, true},
-		{"too many", http.StatusTooManyRequests, []string{"0.5"}, true},
-		{"a failure", http.StatusInternalServerError, []string{"2"}, false},
-		{"a success", http.StatusOK, []string{"2"}, false},
+		{"unavailable", http.StatusServiceUnavailable, []string{"2"}, true},
+		{"too many requests", http.StatusTooManyRequests, []string{"0.5"}, true},
+		{"server error", http.StatusInternalServerError, []string{"2"}, false},
+		{"success", http.StatusOK, []string{"2"}, false},
 		{"no field", http.StatusServiceUnavailable, nil, false},
-		{"no time", http.StatusServiceUnavailable, []string{"0"}, false},
-		{"nonsense", http.StatusServiceUnavailable, []string{"1e300"}, false},
+		{"zero", http.StatusServiceUnavailable, []string{"0"}, false},
+		{"out of range", http.StatusServiceUnavailable, []string{"1e300"}, false},
 		{"two fields", http.StatusServiceUnavailable, []string{"2", "2"}, false},
 		{"very long", http.StatusServiceUnavailable, []string{"99999999999"}, true},
 	}
-	backends := soundBackends(t, len(cases))
+	backends := healthyBackends(t, len(cases))
 	_, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, backends...)
 	waitReady(t, g)
 	for i, c := range cases {
@@ -135,21 +138,21 @@
 		earlier := target
 		earlier.Born--
 		h := exchange.Head{Status: c.status, Header: http.Header{header.RetryAfter: c.fields}}
-		g.heard(earlier, "r", h)
+		g.handleResponseHeader(earlier, "r", h)
 		assert.Assert(t, g.admits(target), c.name)
-		g.heard(target, "r", h)
+		g.handleResponseHeader(target, "r", h)
 		now := time.Now()
-		assert.Equal(t, g.knowledge.BacksOff(now, target.ID), c.want, c.name)
+		assert.Equal(t, g.knowledge.InBackoff(now, target.ID), c.want, c.name)
 		assert.Equal(t, g.admits(target), !c.want, c.name)
-		assert.Assert(t, !g.knowledge.BacksOff(now.Add(longestBackoff+backoffJitterMost), target.ID), c.name)
+		assert.Assert(t, !g.knowledge.InBackoff(now.Add(maxBackoff+maxBackoffJitter), target.ID), c.name)
 		g.knowledge.Restarted(now, []fleet.TargetID{target.ID})
-		assert.Assert(t, !g.knowledge.BacksOff(now, target.ID), c.name)
+		assert.Assert(t, !g.knowledge.InBackoff(now, target.ID), c.name)
 	}
 }
 
-// TestCallersLearnWhenTheFirstTargetIsBack: a service all targets of which turned this instance away refuses at once, and says when the first takes
-// requests again.
-func TestCallersLearnWhenTheFirstTargetIsBack(t *testing.T) {
+// TestCallersGetEarliestRetryAfter checks that a service all targets of which rejected this instance
+// refuses immediately, with the time until the first target accepts requests again.
+func TestCallersGetEarliestRetryAfter(t *testing.T) {
 	var backends []*backend
 	for _, after := range []string{"2", "1.2"} {
 		backends = append(backends, newBackend(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -161,7 +164,7 @@
 	url := startGateway(t, backends...)
 	began := time.Now()
 	for range 5 {
-		r, took := askOnce(t, url+"/get/a")
+		r, took := getResponse(t, url+"/get/a")
 		assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
 		assert.Assert(t, took < 100*time.Millisecond, took)
 		seconds, err := strconv.ParseFloat(r.Header.Get(header.RetryAfter), 64)
@@ -172,8 +175,8 @@
 	assert.Equal(t, totalRuns(backends...), 2)
 }
 
-// askOnce asks and returns the answer without its body.
-func askOnce(t *testing.T, url string) (*http.Response, time.Duration) {
+// getResponse sends a request and returns the response without its body, and the time it took.
+func getResponse(t *testing.T, url string) (*http.Response, time.Duration) {
 	t.Helper()
 	began := time.Now()
 	req, err := http.NewRequest(http.MethodGet, url, http.NoBody)
@@ -186,16 +189,17 @@
 	return resp, time.Since(began)
 }
 
-// TestAnOperatorListsAndLiftsWhatTargetsSay: what was lifted no longer holds, and what the target says afterwards does.
-func TestAnOperatorListsAndLiftsWhatTargetsSay(t *testing.T) {
+// TestOperatorListsAndLiftsAdvice checks that lifted advice has no effect any more and that later
+// advice has.
+func TestOperatorListsAndLiftsAdvice(t *testing.T) {
 	_, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, newBackend(t, respondWith(http.StatusOK)), newBackend(t, respondWith(http.StatusOK)))
 	waitReady(t, g)
 	admin := "http://" + g.settings.ReadyListen
 	first, second := at(g.state.Targets().Target("t0")), at(g.state.Targets().Target("t1"))
 	leaving := exchange.Head{Status: http.StatusOK, Named: true, Header: http.Header{headerNames.Leaving: {"1"}}}
 	turnsAway := exchange.Head{Status: http.StatusServiceUnavailable, Header: http.Header{header.RetryAfter: {"9"}}}
-	g.heard(first, "r", leaving)
-	g.heard(second, "r", turnsAway)
+	g.handleResponseHeader(first, "r", leaving)
+	g.handleResponseHeader(second, "r", turnsAway)
 
 	var reports []advice.Report
 	resp, err := http.Get(admin + advice.Path)
@@ -214,7 +218,7 @@
 		resp.Body.Close()
 		return resp.StatusCode
 	}
-	time.Sleep(2 * time.Millisecond) // what is lifted was said earlier
+	time.Sleep(2 * time.Millisecond) // the advice must be older than its lifting
 	for _, target := range []exchange.Target{first, second} {
 		assert.Assert(t, !g.admits(target))
 		assert.Equal(t, lift(target.ID), http.StatusNoContent)
@@ -222,6 +226,6 @@
 		assert.Equal(t, lift(target.ID), http.StatusNotFound)
 	}
 	time.Sleep(2 * time.Millisecond)
-	g.heard(first, "r", leaving)
+	g.handleResponseHeader(first, "r", leaving)
 	assert.Assert(t, !g.admits(first))
 }
--- a/gateway/advicereport.go
+++ b/gateway/advicereport.go
@@ -13,10 +13,10 @@
 	"github.com/clementinereel/clementinereel/targetrate"
 )
 
-// adviceReports lists what targets say of themselves, by target.
+// adviceReports returns the advice in force, sorted by target.
 func (g *Gateway) adviceReports(now time.Time) []advice.Report {
 	reports := make(map[fleet.TargetID]*advice.Report)
-	of := func(id fleet.TargetID) *advice.Report {
+	report := func(id fleet.TargetID) *advice.Report {
 		r := reports[id]
 		if r == nil {
 			r = &advice.Report{Target: id}
@@ -29,13 +29,13 @@
 	}
 	for _, d := range g.state.Departures() {
 		since := now.Add(-millis(d.AgeMillis))
-		of(d.ID).LeavingSince = &since
+		report(d.ID).LeavingSince = &since
 	}
-	for id, until := range g.knowledge.backoffs(now) {
-		of(id).BackoffUntil = &until
+	for id, until := range g.knowledge.activeBackoffs(now) {
+		report(id).BackoffUntil = &until
 	}
 	for _, n := range g.rates.table.Active() {
-		r := of(n.Target)
+		r := report(n.Target)
 		r.Rate, r.RateHolder = float64(n.Rate), g.rates.holder(now, n.Target)
 	}
 	all := make([]advice.Report, 0, len(reports))
@@ -46,13 +46,13 @@
 	return all
 }
 
-// listAdvice answers an operator who asks what targets say of themselves.
+// listAdvice serves the advice in force to operators.
 func (g *Gateway) listAdvice(c echo.Context) error {
 	return c.JSON(http.StatusOK, g.adviceReports(time.Now()))
 }
 
-// liftAdvice ends what a target said of itself, at an operator's word: that it leaves and its rate on all
-// instances, the backoff on this one. What the target says afterwards holds.
+// liftAdvice ends the advice of a target for an operator: departure and rate on all instances, the
+// backoff on this one. Later advice of the target takes effect again.
 func (g *Gateway) liftAdvice(c echo.Context) error {
 	id := fleet.TargetID(c.Param("target"))
 	now := time.Now()
@@ -60,11 +60,11 @@
 	for _, d := range g.state.Departures() {
 		if d.ID == id {
 			d.Lifted, d.AgeMillis = true, 0
-			lifted = g.takeAndTell(d, fromOperator) || lifted
+			lifted = g.applyDeparture(d, fromOperator) || lifted
 		}
 	}
 	if g.rates.table.Rate(id) > 0 {
-		g.rates.learn(targetrate.Announcement{Target: id, At: now})
+		g.rates.recordNaming(targetrate.Announcement{Target: id, At: now})
 		lifted = true
 	}
 	if !lifted {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -340,7 +340,7 @@
 // place chooses a target whose rate limit, if it has announced one, allows the request.
 func (r *attemptGroup) place(now time.Time, targets []*registry.Target, w placement.Work) (Placed, bool) {
 	c := r.c
-	withheld := c.h.Rates.withheld(now, targets)
+	withheld := c.h.Rates.denied(now, targets)
 	for time.Since(now) <= placementTimeout {
 		p, ok := c.h.Knowledge.Place(now, c.service, targets, r.tried, withheld, w, c.h.Client.Cache.Idle)
 		if !ok {
@@ -363,14 +363,14 @@
 	if r.fallback.kind != outcomeNotRun {
 		return
 	}
-	if backoff := r.c.h.Knowledge.firstBack(now, targets); backoff > 0 {
+	if backoff := r.c.h.Knowledge.minBackoffLeft(now, targets); backoff > 0 {
 		r.fallback.reason = reasonNoRequestsNow
-		r.fallback.retryAfter = min(backoff, comeBackMost) + rand.N(minRetryAfter)
+		r.fallback.retryAfter = min(backoff, maxRetryAfter) + rand.N(minRetryAfter)
 		return
 	}
 	if n > 0 && len(r.tried) == 0 {
 		r.fallback.reason = reasonNoRequestsNow
-		r.fallback.retryAfter = r.c.h.Rates.comeBackAfter(now, r.c.service, targets)
+		r.fallback.retryAfter = r.c.h.Rates.retryAfter(now, r.c.service, targets)
 	}
 }
 
--- a/gateway/backoff.go
+++ b/gateway/backoff.go
@@ -10,71 +10,74 @@
 	"github.com/clementinereel/clementinereel/registry"
 )
 
-// This file backs off from targets that turned requests away and said for how long (Retry-After).
+// This file implements the backoff from targets that rejected requests with a Retry-After.
 
 const (
-	// longestBackoff bounds a backoff, whatever a target says.
-	longestBackoff = 5 * time.Minute
-	// backoffJitter is the part of a backoff by which it is stretched at most, and backoffJitterMost bounds that:
-	// instances that were told the same moment do not all come back in it.
-	backoffJitter     = 0.1
-	backoffJitterMost = 300 * time.Millisecond
-	// toldBackoffMost bounds for how long it counts that others were turned away.
-	toldBackoffMost = 5 * time.Second
-	// backoffTellGap is the least by which a backoff must outlast what was last told of the target to be told.
-	backoffTellGap = 200 * time.Millisecond
+	// maxBackoff bounds a backoff, whatever the target requests.
+	maxBackoff = 5 * time.Minute
+	// backoffJitter is the largest fraction by which a backoff is extended at random, and
+	// maxBackoffJitter bounds the extension. Without it instances that were rejected together would
+	// return together.
+	backoffJitter    = 0.1
+	maxBackoffJitter = 300 * time.Millisecond
+	// maxReportedBackoff bounds the time for which a backoff that another instance reported counts.
+	maxReportedBackoff = 5 * time.Second
+	// minBackoffExtension is the least time by which a backoff must exceed the last reported one of
+	// the target to be reported as well.
+	minBackoffExtension = 200 * time.Millisecond
 )
 
-// backoff is until when instances back off from a target.
+// backoff has the times until which instances back off from a target.
 type backoff struct {
-	// until is that of this instance, which was turned away itself and sends nothing before.
+	// until is the end of this instance's backoff: it was rejected itself and sends nothing before.
 	until time.Time
-	// others is that of others in the zone, as they told. The target is likely to turn this instance away
-	// too, but has told it nothing: it is used where the alternatives are worse.
-	others time.Time
+	// peersUntil is the end of the backoffs that other instances of the zone reported. The target has
+	// not rejected this instance but is likely to: it is used only if the alternatives are worse.
+	peersUntil time.Time
 }
 
-// TurnedAway takes in that a target turned a request of this instance away and wants no others for a time. It
-// tells whether that is news to the others.
-func (k *Knowledge) TurnedAway(now time.Time, name document.ServiceName, id fleet.TargetID, lasts time.Duration) bool {
+// RecordBackoff records that a target rejected a request of this instance and wants none for the
+// given time. It returns true if this has to be reported to other instances.
+func (k *Knowledge) RecordBackoff(now time.Time, name document.ServiceName, id fleet.TargetID, duration time.Duration) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	b := &k.target(id).backoff
-	end := now.Add(lasts)
+	end := now.Add(duration)
 	if !end.After(b.until) {
 		return false
 	}
-	eventlog.Info(eventlog.TargetBackoff, "target", id, "service", name, "backoff_ms", lasts.Milliseconds(), "again", now.Before(b.until), "others_ms", max(b.others.Sub(now), 0).Milliseconds())
-	most := min(backoffJitter*float64(lasts), float64(backoffJitterMost))
-	b.until = end.Add(time.Duration(k.chooser.Random() * most))
-	news := min(lasts, toldBackoffMost) > b.others.Sub(now)+backoffTellGap
-	if news {
-		b.others = now.Add(min(lasts, toldBackoffMost))
+	eventlog.Info(eventlog.TargetBackoff, "target", id, "service", name, "backoff_ms", duration.Milliseconds(), "again", now.Before(b.until), "others_ms", max(b.peersUntil.Sub(now), 0).Milliseconds())
+	maxJitter := min(backoffJitter*float64(duration), float64(maxBackoffJitter))
+	b.until = end.Add(time.Duration(k.chooser.Random() * maxJitter))
+	report := min(duration, maxReportedBackoff) > b.peersUntil.Sub(now)+minBackoffExtension
+	if report {
+		b.peersUntil = now.Add(min(duration, maxReportedBackoff))
 	}
-	return news
+	return report
 }
 
-// takeBackoffs takes in that targets turned other instances away; the lock is held.
-func (k *Knowledge) takeBackoffs(now time.Time, backoffs []mesh.TargetBackoff) {
-	for _, told := range backoffs {
-		lasts := min(max(told.RemainingMillis, 0), toldBackoffMost.Milliseconds())
-		b := &k.target(told.Target).backoff
-		if end := now.Add(millis(lasts)); end.After(b.others) {
-			b.others = end
+// applyPeerBackoffs records the backoffs that another instance reported. The caller holds the lock.
+func (k *Knowledge) applyPeerBackoffs(now time.Time, backoffs []mesh.TargetBackoff) {
+	for _, r := range backoffs {
+		duration := min(max(r.RemainingMillis, 0), maxReportedBackoff.Milliseconds())
+		b := &k.target(r.Target).backoff
+		if end := now.Add(millis(duration)); end.After(b.peersUntil) {
+			b.peersUntil = end
 		}
 	}
 }
 
-// BacksOff tells whether this instance backs off from a target now.
-func (k *Knowledge) BacksOff(now time.Time, id fleet.TargetID) bool {
+// InBackoff reports whether this instance backs off from a target at present.
+func (k *Knowledge) InBackoff(now time.Time, id fleet.TargetID) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	t := k.targets[id]
 	return t != nil && now.Before(t.backoff.until)
 }
 
-// backoffs are the targets from which this instance backs off, and until when.
-func (k *Knowledge) backoffs(now time.Time) map[fleet.TargetID]time.Time {
+// activeBackoffs returns the targets from which this instance backs off, with the ends of the
+// backoffs.
+func (k *Knowledge) activeBackoffs(now time.Time) map[fleet.TargetID]time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	backoffs := make(map[fleet.TargetID]time.Time)
@@ -86,7 +89,7 @@
 	return backoffs
 }
 
-// endBackoff ends the backoff from a target, and tells false if there is none.
+// endBackoff ends the backoff from a target. It returns false if there is none.
 func (k *Knowledge) endBackoff(now time.Time, id fleet.TargetID) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -98,9 +101,9 @@
 	return true
 }
 
-// firstBack is after which time the first of the targets takes requests again; 0 if one does now, or if
-// there is none.
-func (k *Knowledge) firstBack(now time.Time, ts []*registry.Target) time.Duration {
+// minBackoffLeft returns the time until the first of the targets accepts requests again; 0 if one
+// does now, or if there are no targets.
+func (k *Knowledge) minBackoffLeft(now time.Time, ts []*registry.Target) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	first := time.Duration(0)
@@ -116,8 +119,8 @@
 	return first
 }
 
-// ConcernedBy tells whether an instance of the zone, named by its address, should hear what becomes of one of a
-// service's targets: it mostly uses it.
-func (k *Knowledge) ConcernedBy(addr string, t *registry.Target, ts []*registry.Target) bool {
+// PrefersTarget reports whether an instance of the zone, given by its address, mostly uses one of a
+// service's targets and so needs reports on it.
+func (k *Knowledge) PrefersTarget(addr string, t *registry.Target, ts []*registry.Target) bool {
 	return k.chooser.Considers(fleet.InstanceID(addr), t.ID, inZone(ts, t.Zone))
 }
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -17,46 +17,49 @@
 	"github.com/clementinereel/clementinereel/suspicion"
 )
 
-var backoffSeeds = flag.Uint64("backoff-seeds", 2, "seeds of the model of targets that send Retry-After")
+var backoffSeeds = flag.Uint64("backoff-seeds", 2, "number of seeds of the simulation of targets that send Retry-After")
 
 const (
-	// turnsAwayAfter is when targets begin to turn all work away, for turnsAwayFor.
-	turnsAwayAfter = 2 * time.Second
-	turnsAwayFor   = 6 * time.Second
-	// backoffCounts is from when after a refusal a backoff counts.
-	backoffCounts = 100 * time.Millisecond
-	// refusalTakes is how long a target takes to turn work away.
-	refusalTakes = 3 * time.Millisecond
-	// backoffAim is the most requests of an instance that reach a target within a backoff.
-	backoffAim = 1
-	// usage is the part of all targets' slots that the work takes.
-	usage = 0.35
+	// rejectStart is when targets begin to reject requests, for rejectDuration.
+	rejectStart    = 2 * time.Second
+	rejectDuration = 6 * time.Second
+	// backoffSettleTime is the time after a rejection from which requests within the backoff are
+	// counted.
+	backoffSettleTime = 100 * time.Millisecond
+	// rejectLatency is the time that a target takes to reject a request.
+	rejectLatency = 3 * time.Millisecond
+	// maxRequestsInBackoff is the largest allowed number of requests of an instance that reach a
+	// target within a backoff.
+	maxRequestsInBackoff = 1
+	// slotUtilization is the fraction of the slots of all targets that the load uses.
+	slotUtilization = 0.35
 )
 
-// arrivalAt is a request of one instance at one target; refused ones were answered with Retry-After until a time.
-type arrivalAt struct {
+// arrival is a request of one instance at one target. If it was rejected, until is the end of the
+// requested backoff.
+type arrival struct {
 	instance string
 	target   fleet.TargetID
 	at       time.Time
 	until    time.Time
 }
 
-// backoffRun is a zone of which some targets turn work away and send Retry-After.
+// backoffRun simulates a zone in which some targets reject requests with Retry-After.
 type backoffRun struct {
 	*zoneRun
-	sends map[fleet.TargetID]time.Duration
-	// turnsAway is the part of the work that they turn away.
-	turnsAway float64
-	// silent tells that they ask for nothing as they do so.
-	silent bool
-	met    []arrivalAt
-	// asked and served are requests from when targets turn work away on.
-	asked, served int
+	retryAfters map[fleet.TargetID]time.Duration
+	// rejectShare is the fraction of requests that these targets reject.
+	rejectShare float64
+	// omitRetryAfter makes targets reject requests without Retry-After.
+	omitRetryAfter bool
+	arrivals       []arrival
+	// requests and served count the requests since targets began to reject.
+	requests, served int
 }
 
-// newBackoffRun is a zone of which the given part of the targets turns work away.
+// newBackoffRun returns a zone in which the given fraction of the targets rejects requests.
 func newBackoffRun(seed uint64, instances, targets int, share float64) *backoffRun {
-	z := &backoffRun{zoneRun: newZoneRun(seed, instances, targets, 0), sends: make(map[fleet.TargetID]time.Duration), turnsAway: 1}
+	z := &backoffRun{zoneRun: newZoneRun(seed, instances, targets, 0), retryAfters: make(map[fleet.TargetID]time.Duration), rejectShare: 1}
 	var members []mesh.Member
 	for _, in := range z.instances {
 		members = append(members, mesh.Member{Addr: in.addr})
@@ -67,32 +70,32 @@
 	}
 	for i, t := range z.targets {
 		if float64(i) < share*float64(targets) {
-			z.sends[t.ID] = []time.Duration{3 * time.Second, 1500 * time.Millisecond, 800 * time.Millisecond}[i%3]
+			z.retryAfters[t.ID] = []time.Duration{3 * time.Second, 1500 * time.Millisecond, 800 * time.Millisecond}[i%3]
 		}
 	}
 	return z
 }
 
-// retryAfter is what a target that gets a request sends as it turns it away; 0 if it takes the work.
+// retryAfter returns the backoff that a target requests as it rejects a request; 0 if it accepts it.
 func (z *backoffRun) retryAfter(now time.Time, id fleet.TargetID) time.Duration {
-	if z.rng.Float64() >= z.turnsAway || now.Before(start.Add(turnsAwayAfter)) || now.After(start.Add(turnsAwayAfter+turnsAwayFor)) {
+	if z.rng.Float64() >= z.rejectShare || now.Before(start.Add(rejectStart)) || now.After(start.Add(rejectStart+rejectDuration)) {
 		return 0
 	}
-	return z.sends[id]
+	return z.retryAfters[id]
 }
 
-// request is a lookup at any instance.
+// request sends an idempotent request through a random instance.
 func (z *backoffRun) request(now time.Time) {
 	in := z.instances[z.rng.IntN(len(z.instances))]
 	in.k.RecordRequest(now, "s", true)
-	if now.After(start.Add(turnsAwayAfter)) {
-		z.asked++
+	if now.After(start.Add(rejectStart)) {
+		z.requests++
 	}
 	z.attempt(in, now, now, nil)
 }
 
-// attempt tries a target; one that turns it away is followed by another, if the retry budget allows.
-func (z *backoffRun) attempt(in *zoneInstance, asked, now time.Time, tried []fleet.TargetID) {
+// attempt tries a target. After a rejection another one is tried if the retry budget allows.
+func (z *backoffRun) attempt(in *zoneInstance, requestedAt, now time.Time, tried []fleet.TargetID) {
 	w := placement.Work{Objective: objective, KB: 1, Retryable: true}
 	p, ok := in.k.Place(now, "s", z.targets, tried, nil, w, func(exchange.Target, time.Duration) bool { return true })
 	if !ok {
@@ -100,34 +103,34 @@
 	}
 	z.tellLoad(in, now, &p)
 	after := z.retryAfter(now, p.ID)
-	a := arrivalAt{instance: in.addr, target: p.ID, at: now}
+	a := arrival{instance: in.addr, target: p.ID, at: now}
 	if after > 0 {
 		a.until = now.Add(after)
 	}
-	z.met = append(z.met, a)
+	z.arrivals = append(z.arrivals, a)
 	if after == 0 {
 		z.at(now.Add(time.Duration((0.7+0.6*z.rng.Float64())*float64(workTakes))), func(now time.Time) {
 			z.learn(in, now, a.at, &p, suspicion.Success)
-			if asked.After(start.Add(turnsAwayAfter)) {
+			if requestedAt.After(start.Add(rejectStart)) {
 				z.served++
 			}
 		})
 		return
 	}
-	z.at(now.Add(refusalTakes), func(now time.Time) {
+	z.at(now.Add(rejectLatency), func(now time.Time) {
 		in.k.Ended(p)
-		if !z.silent && in.k.TurnedAway(now, "s", p.ID, after) {
-			told := &mesh.Packet{Backoffs: []mesh.TargetBackoff{{Target: p.ID, RemainingMillis: after.Milliseconds()}}}
-			z.tell(in, now, told, func(addr string) bool { return in.k.ConcernedBy(addr, p.Target, z.targets) })
+		if !z.omitRetryAfter && in.k.RecordBackoff(now, "s", p.ID, after) {
+			packet := &mesh.Packet{Backoffs: []mesh.TargetBackoff{{Target: p.ID, RemainingMillis: after.Milliseconds()}}}
+			z.tell(in, now, packet, func(addr string) bool { return in.k.PrefersTarget(addr, p.Target, z.targets) })
 		}
-		z.again(in, asked, now, append(slices.Clone(tried), p.ID))
+		z.retry(in, requestedAt, now, append(slices.Clone(tried), p.ID))
 	})
 }
 
-// again tries another target, if the retry budget allows that, or a loan of neighbours does.
-func (z *backoffRun) again(in *zoneInstance, asked, now time.Time, tried []fleet.TargetID) {
+// retry tries another target if the retry budget, or a loan from peers, allows.
+func (z *backoffRun) retry(in *zoneInstance, requestedAt, now time.Time, tried []fleet.TargetID) {
 	if _, ok := in.k.SpendBudget(now, "s", true); ok {
-		z.attempt(in, asked, now, tried)
+		z.attempt(in, requestedAt, now, tried)
 		return
 	}
 	asks := in.k.LoanRequests(now, "s")
@@ -139,30 +142,30 @@
 	}
 	z.at(now.Add(loanTimeout), func(now time.Time) {
 		if _, ok := in.k.SpendBudget(now, "s", true); ok {
-			z.attempt(in, asked, now, tried)
+			z.attempt(in, requestedAt, now, tried)
 		}
 	})
 }
 
-// play plays the traffic until some seconds after the last target takes work again.
-func (z *backoffRun) play() {
-	const until = turnsAwayAfter + turnsAwayFor + 4*time.Second
-	rate := usage * float64(len(z.targets)*z.targets[0].Slots) / workTakes.Seconds()
+// run simulates traffic until 4 s after the last target accepts requests again.
+func (z *backoffRun) run() {
+	const until = rejectStart + rejectDuration + 4*time.Second
+	rate := slotUtilization * float64(len(z.targets)*z.targets[0].Slots) / workTakes.Seconds()
 	for at := 0.0; at < until.Seconds(); at += z.rng.ExpFloat64() / rate {
 		z.at(start.Add(time.Duration(at*float64(time.Second))), z.request)
 	}
 	z.queue.Run(until + 2*time.Second)
 }
 
-// mostInBackoff is the most requests of one instance that met a target within a time that it had sent that
-// instance.
-func (z *backoffRun) mostInBackoff() int {
+// maxInBackoff returns the largest number of requests from one instance that reached a target within
+// a backoff that the target had requested from that instance.
+func (z *backoffRun) maxInBackoff() int {
 	type pair struct {
 		instance string
 		target   fleet.TargetID
 	}
-	of := make(map[pair][]arrivalAt)
-	for _, a := range z.met {
+	of := make(map[pair][]arrival)
+	for _, a := range z.arrivals {
 		of[pair{a.instance, a.target}] = append(of[pair{a.instance, a.target}], a)
 	}
 	most := 0
@@ -170,7 +173,7 @@
 		for i, refused := range as {
 			n := 0
 			for _, a := range as[i+1:] {
-				if a.at.Sub(refused.at) >= backoffCounts && a.at.Before(refused.until) {
+				if a.at.Sub(refused.at) >= backoffSettleTime && a.at.Before(refused.until) {
 					n++
 				}
 			}
@@ -180,44 +183,46 @@
 	return most
 }
 
-// TestTargetsThatSendRetryAfterAreLeftAlone: a refusal changed nothing of what was known of a target, which, with nothing in
-// flight, was chosen again at once, and what it turned away used up the retry budget.
-func TestTargetsThatSendRetryAfterAreLeftAlone(t *testing.T) {
-	const share, leastServed = 0.375, 0.99
+// TestRetryAfterIsHonored guards against requests to targets that sent Retry-After. Such a target has
+// nothing in flight, so without a backoff it is chosen again immediately, and its rejections use up
+// the retry budget.
+func TestRetryAfterIsHonored(t *testing.T) {
+	const share, minServed = 0.375, 0.99
 	for _, size := range zoneSizes {
 		for seed := range *backoffSeeds {
 			z := newBackoffRun(seed, size.instances, max(size.targets, 8), share)
-			z.play()
-			most, served := z.mostInBackoff(), float64(z.served)/float64(z.asked)
+			z.run()
+			most, served := z.maxInBackoff(), float64(z.served)/float64(z.requests)
 			what := fmt.Sprintf("%d instances, seed %d", size.fleet, seed)
-			t.Logf("%s: %.4f served, at most %d requests of an instance in one backoff", what, served, most)
-			assert.Check(t, most <= backoffAim, "%s: %d requests of an instance in one backoff", what, most)
-			assert.Check(t, served >= leastServed, "%s: %.4f served", what, served)
+			t.Logf("%s: %.4f of requests served, at most %d requests of an instance in one backoff", what, served, most)
+			assert.Check(t, most <= maxRequestsInBackoff, "%s: %d requests of an instance in one backoff", what, most)
+			assert.Check(t, served >= minServed, "%s: only %.4f of requests served", what, served)
 		}
 	}
 }
 
-// TestTargetsThatTurnSomeAwayStayInUse: all targets of a service turn away a third of what arrives; that they ask whom they
-// turned away to stay away costs callers nothing, for nobody else leaves them alone.
-func TestTargetsThatTurnSomeAwayStayInUse(t *testing.T) {
+// TestPartialRejectionKeepsTargetsInUse checks that callers lose nothing if all targets of a service
+// reject a third of their requests with Retry-After, compared with rejections without it: only the
+// rejected instance stops using the target.
+func TestPartialRejectionKeepsTargetsInUse(t *testing.T) {
 	const (
-		alike     = 0.03
-		leastSeen = 3000 // requests, in as many seeds as it takes
+		tolerance   = 0.03
+		minRequests = 3000 // as many seeds are run as it takes
 	)
 	for _, size := range zoneSizes {
-		var asked, served [2]int // where targets send Retry-After, and where they do not
-		for seed := uint64(0); asked[0] < leastSeen; seed++ {
-			for i, silent := range []bool{false, true} {
+		var requests, served [2]int // with Retry-After, and without
+		for seed := uint64(0); requests[0] < minRequests; seed++ {
+			for i, omit := range []bool{false, true} {
 				z := newBackoffRun(seed, size.instances, max(size.targets, 8), 1)
-				z.turnsAway, z.silent = 1.0/3, silent
-				z.play()
-				asked[i] += z.asked
+				z.rejectShare, z.omitRetryAfter = 1.0/3, omit
+				z.run()
+				requests[i] += z.requests
 				served[i] += z.served
-				assert.Check(t, silent || z.mostInBackoff() <= backoffAim, "%d instances, seed %d: %d requests of an instance in one backoff", size.fleet, seed, z.mostInBackoff())
+				assert.Check(t, omit || z.maxInBackoff() <= maxRequestsInBackoff, "%d instances, seed %d: %d requests of an instance in one backoff", size.fleet, seed, z.maxInBackoff())
 			}
 		}
-		share := func(i int) float64 { return float64(served[i]) / float64(asked[i]) }
-		t.Logf("%d instances: %.4f served, %.4f where targets ask for nothing", size.fleet, share(0), share(1))
-		assert.Check(t, share(0) >= share(1)-alike, "%d instances: %.4f served, %.4f where targets ask for nothing", size.fleet, share(0), share(1))
+		share := func(i int) float64 { return float64(served[i]) / float64(requests[i]) }
+		t.Logf("%d instances: %.4f of requests served, %.4f without Retry-After", size.fleet, share(0), share(1))
+		assert.Check(t, share(0) >= share(1)-tolerance, "%d instances: %.4f of requests served, %.4f without Retry-After", size.fleet, share(0), share(1))
 	}
 }
--- a/gateway/choice.go
+++ b/gateway/choice.go
@@ -154,7 +154,7 @@
 		HasConn:              warm,
 		PathCut:              now.Before(t.cutUntil),
 		Warming:              now.Before(rt.WarmAt),
-		BackedOff:            now.Before(t.backoff.others),
+		BackedOff:            now.Before(t.backoff.peersUntil),
 		SinceUse:             now.Sub(t.lastUse),
 		// An arrival may be known before any use is, which is told as an attempt ends.
 		SinceStart:      now.Sub(t.arrivedAt),
--- a/gateway/contents.go
+++ b/gateway/contents.go
@@ -22,16 +22,16 @@
 )
 
 // This file connects the request path and the mesh to the table of contents that may crash their
-// targets.
+// targets. A content is what two identical requests have in common (method, host, URI and body).
 
-// standing is what may be done with the request now.
+// standing returns the restriction that applies to the request's content.
 func (c *call) standing() quarantine.Standing {
 	return c.h.Contents.Standing(time.Now(), &c.content)
 }
 
-// onTrial tells whether the request, whose content is in quarantine, is to show whether it still
-// crashes a target.
-func (c *call) onTrial() bool {
+// startTrial reports whether the request, whose content is in quarantine, is sent as a trial: it
+// shows whether the content still crashes a target.
+func (c *call) startTrial() bool {
 	f := c.content.Fingerprint()
 	if !c.h.RunsTrial(f) || !c.h.Contents.Trial(time.Now(), &c.content) {
 		return false
@@ -40,57 +40,59 @@
 	return true
 }
 
-// triesHere tells whether this instance is the one of the fleet that tries a content in quarantine
-// again: the first of the first zone, in an order of the content's own. Where views differ for a moment two may be.
-func (g *Gateway) triesHere(f quarantine.Fingerprint) bool {
+// runsTrials reports whether this instance is the one of the fleet that runs the trials of a content:
+// the first of the first zone in an order derived from the fingerprint. While the views of instances
+// differ there may be two.
+func (g *Gateway) runsTrials(f quarantine.Fingerprint) bool {
 	now, v := time.Now(), g.node.View()
-	zone, self := rankOf(f, string(v.Zone)), rankOf(f, g.node.Addr())
+	zone, self := trialRank(f, string(v.Zone)), trialRank(f, g.node.Addr())
 	for i := range v.Zones {
-		if v.Zones[i].Fresh(now) && rankOf(f, string(v.Zones[i].Name)) > zone {
+		if v.Zones[i].Fresh(now) && trialRank(f, string(v.Zones[i].Name)) > zone {
 			return false
 		}
 	}
 	for i := range v.Members {
 		m := &v.Members[i]
-		if m.Zone == v.Zone && m.Fresh(now) && !m.Leaving && rankOf(f, m.Addr) > self {
+		if m.Zone == v.Zone && m.Fresh(now) && !m.Leaving && trialRank(f, m.Addr) > self {
 			return false
 		}
 	}
 	return true
 }
 
-// rankOf is the place of a name in a content's order.
-func rankOf(f quarantine.Fingerprint, name string) uint64 {
+// trialRank returns the rank of a zone or instance in a content's order; the highest comes first.
+func trialRank(f quarantine.Fingerprint, name string) uint64 {
 	return xxhash.Sum64(append(f[:], name...))
 }
 
-// learnContent takes in what an attempt's end says of the request's content and tells the others.
-func (c *call) learnContent(e attemptResult, began time.Time) {
+// recordContent records what an attempt's result shows about the request's content and announces new
+// evidence.
+func (c *call) recordContent(e attemptResult, began time.Time) {
 	now := time.Now()
 	process := quarantine.Process{Target: e.placed.ID, Born: e.placed.Born}
 	switch {
 	case e.result.Answer != nil:
 		c.h.Contents.Answered(now, process, began)
 		if served(&e.result) {
-			if told, news := c.h.Contents.Served(now, &c.content); news {
-				c.h.SendContent(now, told)
+			if evidence, changed := c.h.Contents.Served(now, &c.content); changed {
+				c.h.SendContent(now, evidence)
 			}
 		}
 	case connectionLost(&e.result):
-		if told, news := c.h.Contents.Lost(now, &c.content, quarantine.Loss{Process: process, Began: began, Ended: now}); news {
-			c.h.SendContent(now, told)
+		if evidence, changed := c.h.Contents.Lost(now, &c.content, quarantine.Loss{Process: process, Began: began, Ended: now}); changed {
+			c.h.SendContent(now, evidence)
 		}
 	}
 }
 
-// served tells whether the target dealt with the request. One that is sick fails requests that it has not
-// begun.
+// served reports whether the target processed the request. A 5xx response does not count: an
+// unhealthy target also fails requests that it has not begun.
 func served(r *exchange.Result) bool {
 	return r.Kind == exchange.Answered && r.Answer.Sealed && r.Answer.Status < http.StatusInternalServerError
 }
 
-// connectionLost tells whether the connection ended in the midst of an exchange, as those of
-// a process that crashes do.
+// connectionLost reports whether the connection ended during an exchange, as happens when the process
+// of a target crashes.
 func connectionLost(r *exchange.Result) bool {
 	if r.Kind != exchange.Broken {
 		return false
@@ -103,27 +105,27 @@
 	return false
 }
 
-// refuseContent answers a request that crashes its targets. It was not run, and is not until it is
-// tried again or the quarantine ends: to come back sooner is of no use.
+// refuseContent refuses a request that crashes its targets; it was not run. Retry-After is the time
+// until the next trial or the end of the quarantine: a retry before that would be refused as well.
 func (c *call) refuseContent() int {
 	now := time.Now()
 	proof, until, _ := c.h.Contents.Proof(&c.content)
 	c.h.Metrics.ContentsRefused.Inc(1)
-	comeBackIn := max(until.Sub(now), minRetryAfter).Round(time.Second)
-	return c.refuseFor(problem.Quarantined, "requests like this one crash the targets that run them", comeBackIn,
-		"content", c.content.Fingerprint(), "caller", c.caller(), "targets", targetsOf(proof), "proven_ms", provenFor(now, proof).Milliseconds())
+	wait := max(until.Sub(now), minRetryAfter).Round(time.Second)
+	return c.refuseFor(problem.Quarantined, "requests like this one crash the targets that run them", wait,
+		"content", c.content.Fingerprint(), "caller", c.caller(), "targets", lossTargets(proof), "proven_ms", proofAge(now, proof).Milliseconds())
 }
 
-// provenFor is how long ago the last loss of the proof was.
-func provenFor(now time.Time, e quarantine.Evidence) time.Duration {
+// proofAge returns the time since the last loss of the proof.
+func proofAge(now time.Time, e quarantine.Evidence) time.Duration {
 	if len(e.Losses) == 0 {
 		return 0
 	}
 	return now.Sub(e.Losses[len(e.Losses)-1].Ended)
 }
 
-// targetsOf names the targets of the evidence, as logs write them.
-func targetsOf(e quarantine.Evidence) string {
+// lossTargets returns the targets of the losses, separated by commas for logs.
+func lossTargets(e quarantine.Evidence) string {
 	names := make([]string, 0, len(e.Losses))
 	for _, l := range e.Losses {
 		names = append(names, string(l.Process.Target))
@@ -131,92 +133,93 @@
 	return strings.Join(names, ",")
 }
 
-// logContent writes a line where a content comes under restriction or leaves it. What a
-// single lost answer says stands in the line of its attempt.
-func logContent(c quarantine.Change) {
+// logStandingChange logs that a content came under restriction or left it. A single lost response is
+// logged with its attempt.
+func logStandingChange(c quarantine.Change) {
 	if c.Before < quarantine.Restricted && c.Now < quarantine.Restricted {
 		return
 	}
-	eventlog.Info(eventlog.ContentJudged, "content", c.Content, "before", c.Before, "now", c.Now, "by", c.From, "targets", targetsOf(c.Evidence),
-		"age_ms", provenFor(time.Now(), c.Evidence).Milliseconds())
+	eventlog.Info(eventlog.ContentJudged, "content", c.Content, "before", c.Before, "now", c.Now, "by", c.From, "targets", lossTargets(c.Evidence),
+		"age_ms", proofAge(time.Now(), c.Evidence).Milliseconds())
 }
 
-// untold is evidence that waits for the next news.
-type untold struct {
+// evidenceQueue holds evidence that is sent with the next update.
+type evidenceQueue struct {
 	mu       sync.Mutex
 	evidence []quarantine.Evidence
 }
 
-func (u *untold) add(e quarantine.Evidence) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.evidence = append(u.evidence, e)
+func (q *evidenceQueue) add(e quarantine.Evidence) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.evidence = append(q.evidence, e)
 }
 
-func (u *untold) take() []quarantine.Evidence {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	es := u.evidence
-	u.evidence = nil
+func (q *evidenceQueue) drain() []quarantine.Evidence {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	es := q.evidence
+	q.evidence = nil
 	return es
 }
 
-// tellContent tells the others what is known of a content, and again soon where much depends on it. A
-// single loss goes with what the attempt says of its target, which is told next: where many connections break at
-// once that halves the datagrams.
-func (g *Gateway) tellContent(now time.Time, e quarantine.Evidence) {
+// announceContent sends the evidence on a content to the other instances, and repeats evidence that
+// must not be lost. A single loss is queued for the update on its target that follows: this halves
+// the datagrams when many connections break at once.
+func (g *Gateway) announceContent(now time.Time, e quarantine.Evidence) {
 	if len(e.Losses) == 1 {
 		g.pendingEvidence.add(e)
 		return
 	}
-	g.tellContentNow(now, e)
+	g.sendContent(now, e)
 	for _, after := range e.RepeatAfter() {
-		time.AfterFunc(after, func() { g.tellContentNow(time.Now(), e) })
+		time.AfterFunc(after, func() { g.sendContent(time.Now(), e) })
 	}
 }
 
-func (g *Gateway) tellContentNow(now time.Time, e quarantine.Evidence) {
+func (g *Gateway) sendContent(now time.Time, e quarantine.Evidence) {
 	g.sendUpdate(mesh.Packet{Contents: []mesh.ContentEvidence{encodeContent(now, &e)}})
 }
 
-// tellKept tells the others at once of a content that the store kept, and again soon.
-func (g *Gateway) tellKept(now time.Time, e quarantine.Evidence) {
-	g.tellKeptNow(now, e)
+// announceStoredContent sends a content that the store kept to the other instances, and repeats it.
+func (g *Gateway) announceStoredContent(now time.Time, e quarantine.Evidence) {
+	g.sendStoredContent(now, e)
 	for _, after := range e.RepeatAfter() {
-		time.AfterFunc(after, func() { g.tellKeptNow(time.Now(), e) })
+		time.AfterFunc(after, func() { g.sendStoredContent(time.Now(), e) })
 	}
 }
 
-func (g *Gateway) tellKeptNow(now time.Time, e quarantine.Evidence) {
+func (g *Gateway) sendStoredContent(now time.Time, e quarantine.Evidence) {
 	var p mesh.Packet
-	addContent(now, &p, &e)
+	appendContent(now, &p, &e)
 	g.node.AnnounceContents(p.Contents, p.Upheld)
 }
 
-// addContent adds what is known of a content to a packet.
-func addContent(now time.Time, p *mesh.Packet, e *quarantine.Evidence) {
+// appendContent adds the evidence on a content to a packet.
+func appendContent(now time.Time, p *mesh.Packet, e *quarantine.Evidence) {
 	p.Contents = append(p.Contents, encodeContent(now, e))
 	if e.Upheld {
 		p.Upheld = append(p.Upheld, e.Content)
 	}
 }
 
-// fillUntold adds evidence that waits to news.
-func (g *Gateway) fillUntold(now time.Time, p *mesh.Packet) {
-	for _, e := range g.pendingEvidence.take() {
+// fillQueuedEvidence adds the queued evidence to a packet.
+func (g *Gateway) fillQueuedEvidence(now time.Time, p *mesh.Packet) {
+	for _, e := range g.pendingEvidence.drain() {
 		p.Contents = append(p.Contents, encodeContent(now, &e))
 	}
 }
 
-// fillContents adds contents under restriction to a packet.
+// fillContents adds contents under restriction, and recently cleared ones, to a packet.
 func (g *Gateway) fillContents(now time.Time, p *mesh.Packet) {
 	for _, e := range g.contents.Repeat() {
-		addContent(now, p, &e)
+		appendContent(now, p, &e)
 	}
 }
 
-// takeContents takes in what a packet says of contents, and of targets that go on answering.
-func (g *Gateway) takeContents(now time.Time, p *mesh.Packet) {
+// handleContents applies the evidence on contents in a packet, and its reports of targets that
+// responded.
+func (g *Gateway) handleContents(now time.Time, p *mesh.Packet) {
 	for i := range p.Contents {
 		e := decodeContent(now, &p.Contents[i])
 		e.Upheld = slices.Contains(p.Upheld, e.Content)
@@ -224,23 +227,23 @@
 	}
 	for _, e := range p.Evidence {
 		if e.Observation == suspicion.Success {
-			g.targetAnswered(now, e.Target, e.AgeMillis)
+			g.recordTargetResponse(now, e.Target, e.AgeMillis)
 		}
 	}
 	if p.Digest == nil {
 		return
 	}
 	for _, s := range p.Digest.Successes {
-		g.targetAnswered(now, s.Target, s.AgeMillis)
+		g.recordTargetResponse(now, s.Target, s.AgeMillis)
 	}
 }
 
-// targetAnswered takes in that a target answered an attempt that began so long ago: its process
-// in use is alive.
-func (g *Gateway) targetAnswered(now time.Time, id fleet.TargetID, agedMillis int64) {
+// recordTargetResponse records that a target responded to an attempt that began ageMillis ago: its
+// current process is alive.
+func (g *Gateway) recordTargetResponse(now time.Time, id fleet.TargetID, ageMillis int64) {
 	g.poison.RecordTargetSuccess(now, id)
 	if t := g.state.Targets().Target(id); t != nil {
-		g.contents.Answered(now, quarantine.Process{Target: id, Born: t.Born}, now.Add(-millis(agedMillis)))
+		g.contents.Answered(now, quarantine.Process{Target: id, Born: t.Born}, now.Add(-millis(ageMillis)))
 	}
 }
 
--- a/gateway/contents_test.go
+++ b/gateway/contents_test.go
@@ -21,16 +21,15 @@
 	"github.com/clementinereel/clementinereel/reelctl"
 )
 
-// breaks ends the connection in the midst of a request whose path is the deadly one.
-func breaks(w http.ResponseWriter, r *http.Request) {
+// abortDeadly aborts the connection during a request to the deadly path, and serves others.
+func abortDeadly(w http.ResponseWriter, r *http.Request) {
 	if strings.HasSuffix(r.URL.Path, "/deadly") {
 		panic(http.ErrAbortHandler)
 	}
 	respondWith(http.StatusOK)(w, r)
 }
 
-// lossesAt are losses at processes of one target, each after the one before; the last
-// ended the given time ago.
+// lossesAt returns sequential losses at processes of one target. The last ended the given time ago.
 func lossesAt(now time.Time, target fleet.TargetID, ago time.Duration, count int) []quarantine.Loss {
 	const took = 50 * time.Millisecond
 	var ls []quarantine.Loss
@@ -41,38 +40,38 @@
 	return ls
 }
 
-// deadly is the content that ask sends to the deadly path.
-func deadly(method, path string) *quarantine.Content {
+// deadlyContent returns the content of a request that the tests send to a path.
+func deadlyContent(method, path string) *quarantine.Content {
 	return &quarantine.Content{Method: method, Host: "h", URI: path, Body: []byte("order")}
 }
 
-// told makes an instance hear of losses of a content from a peer.
-func told(g *Gateway, c *quarantine.Content, count int) { toldOf(g, c, count, time.Second) }
+// addLosses reports losses of a content to an instance as a peer does.
+func addLosses(g *Gateway, c *quarantine.Content, count int) { addLossesAt(g, c, count, time.Second) }
 
-// toldOf is the same; the last ended the given time ago.
-func toldOf(g *Gateway, c *quarantine.Content, count int, ago time.Duration) {
+// addLossesAt is like addLosses, with the last loss the given time ago.
+func addLossesAt(g *Gateway, c *quarantine.Content, count int, ago time.Duration) {
 	now := time.Now()
 	e := quarantine.Evidence{Content: c.Fingerprint(), Losses: lossesAt(now, fleet.TargetID(c.URI), ago, count)}
 	g.handlePacket(now, &mesh.Packet{Addr: "127.0.0.9:1", Zone: "a", Boot: 1, Contents: []mesh.ContentEvidence{encodeContent(now, &e)}})
 }
 
-func backendsThatBreak(t *testing.T) []*backend {
+func crashingBackends(t *testing.T) []*backend {
 	var bs []*backend
 	for range 5 {
-		bs = append(bs, newBackend(t, breaks))
+		bs = append(bs, newBackend(t, abortDeadly))
 	}
 	return bs
 }
 
-// TestAQuarantinedRequestIsRefusedAtOnce: it reaches no target, and callers are told when to come
-// back. Others are served.
-func TestAQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
-	bs := backendsThatBreak(t)
+// TestQuarantinedRequestIsRefusedImmediately checks that a quarantined request reaches no target and
+// that its caller gets a Retry-After, while other requests are served.
+func TestQuarantinedRequestIsRefusedImmediately(t *testing.T) {
+	bs := crashingBackends(t)
 	url, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, bs...)
 	waitReady(t, g)
 	for _, method := range []string{"GET", "POST"} {
 		path := map[string]string{"GET": "/get/deadly", "POST": "/buy/deadly"}[method]
-		told(g, deadly(method, path), 3)
+		addLosses(g, deadlyContent(method, path), 3)
 		time.Sleep(200 * time.Millisecond) // until the proof is settled
 		resp := send(t, method, url+path)
 		assert.Equal(t, resp.StatusCode, http.StatusServiceUnavailable)
@@ -97,31 +96,33 @@
 	return resp
 }
 
-// TestARequestUnderSuspicionSpendsFewTargets: what is known from peers bounds the targets of a request.
-func TestARequestUnderSuspicionSpendsFewTargets(t *testing.T) {
-	for known, want := range map[int]int{0: 2, 1: 1, 2: 1} {
-		t.Run(fmt.Sprint(known, " losses known"), func(t *testing.T) {
-			bs := backendsThatBreak(t)
+// TestSuspectedRequestReachesFewTargets checks that losses reported by peers bound the targets that a
+// request reaches.
+func TestSuspectedRequestReachesFewTargets(t *testing.T) {
+	for losses, want := range map[int]int{0: 2, 1: 1, 2: 1} {
+		t.Run(fmt.Sprint(losses, " losses reported"), func(t *testing.T) {
+			bs := crashingBackends(t)
 			url, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, bs...)
 			waitReady(t, g)
-			if known > 0 {
-				told(g, deadly("GET", "/get/deadly"), known)
+			if losses > 0 {
+				addLosses(g, deadlyContent("GET", "/get/deadly"), losses)
 			}
 			status, _, _ := sendRequest(t.Context(), t, "GET", url+"/get/deadly")
-			assert.Equal(t, status, http.StatusBadGateway, "it may have run")
+			assert.Equal(t, status, http.StatusBadGateway, "the request may have run")
 			assert.Equal(t, totalRuns(bs...), want)
 		})
 	}
 }
 
-// TestAContentThatNoLongerCrashesTargetsIsServedAgain: one request shows it, at one target.
-func TestAContentThatNoLongerCrashesTargetsIsServedAgain(t *testing.T) {
+// TestSuccessfulTrialEndsQuarantine checks that one request at one target ends the quarantine of a
+// content that no longer crashes targets, and that a failed trial keeps it.
+func TestSuccessfulTrialEndsQuarantine(t *testing.T) {
 	for path, want := range map[string]int{"/get/mended": http.StatusOK, "/get/deadly": http.StatusBadGateway} {
 		t.Run(path, func(t *testing.T) {
-			bs := backendsThatBreak(t)
+			bs := crashingBackends(t)
 			url, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, bs...)
 			waitReady(t, g)
-			toldOf(g, deadly("GET", path), 3, 3*time.Minute)
+			addLossesAt(g, deadlyContent("GET", path), 3, 3*time.Minute)
 			time.Sleep(200 * time.Millisecond) // until the proof is settled
 			assert.Equal(t, send(t, "GET", url+path).StatusCode, want)
 			assert.Equal(t, totalRuns(bs...), 1)
@@ -133,8 +134,9 @@
 	}
 }
 
-// TestOneInstanceTriesAContent: whichever of the fleet it comes to.
-func TestOneInstanceTriesAContent(t *testing.T) {
+// TestOneInstanceRunsTrials checks that exactly one instance of the fleet runs the trials of a
+// content.
+func TestOneInstanceRunsTrials(t *testing.T) {
 	var gs []*Gateway
 	for range 3 {
 		_, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, newBackend(t, respondWith(http.StatusOK)))
@@ -148,70 +150,71 @@
 			if g.node.View().ZoneInstances() == len(gs) {
 				return poll.Success()
 			}
-			return poll.Continue("not all are known")
+			return poll.Continue("not all instances have been discovered")
 		}, poll.WithTimeout(5*time.Second), poll.WithDelay(5*time.Millisecond))
 	}
 	chosen := make(map[int]int)
 	for n := range 60 {
-		f, here := deadly("GET", fmt.Sprint("/get/", n)).Fingerprint(), 0
+		f, here := deadlyContent("GET", fmt.Sprint("/get/", n)).Fingerprint(), 0
 		for i, g := range gs {
-			if g.triesHere(f) {
+			if g.runsTrials(f) {
 				here++
 				chosen[i]++
 			}
 		}
 		assert.Equal(t, here, 1)
 	}
-	assert.Equal(t, len(chosen), len(gs), "each has its part")
+	assert.Equal(t, len(chosen), len(gs), "an instance runs no trials")
 }
 
-// TestWhatAPeerKnowsOfContentsComesWithItsGreeting: a process that has just started would find
-// each request out by itself.
-func TestWhatAPeerKnowsOfContentsComesWithItsGreeting(t *testing.T) {
-	bs := backendsThatBreak(t)
+// TestGreetingIncludesContents checks that the first packet to a new instance has the contents under
+// restriction. Without them the new process would lose targets to each again.
+func TestGreetingIncludesContents(t *testing.T) {
+	bs := crashingBackends(t)
 	_, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, bs...)
-	c := deadly("GET", "/get/deadly")
-	told(g, c, 3)
+	c := deadlyContent("GET", "/get/deadly")
+	addLosses(g, c, 3)
 	var p mesh.Packet
 	g.fillGreeting(time.Now(), &p)
-	fresh := quarantine.New(logContent)
+	fresh := quarantine.New(logStandingChange)
 	for i := range p.Contents {
 		fresh.Take(time.Now(), decodeContent(time.Now(), &p.Contents[i]), "peer")
 	}
 	assert.Equal(t, fresh.Standing(time.Now().Add(time.Second), c), quarantine.Quarantined)
 }
 
-// TestAnOperatorLiftsAQuarantine: it is listed, lifted by its name, and served again.
-func TestAnOperatorLiftsAQuarantine(t *testing.T) {
+// TestOperatorLiftsQuarantine checks that a quarantine is listed, lifted by its fingerprint, and the
+// content served again.
+func TestOperatorLiftsQuarantine(t *testing.T) {
 	b := newBackend(t, respondWith(http.StatusOK))
 	url, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, b)
 	waitReady(t, g)
-	c := deadly("GET", "/get/deadly")
-	told(g, c, 3)
+	c := deadlyContent("GET", "/get/deadly")
+	addLosses(g, c, 3)
 	time.Sleep(200 * time.Millisecond) // until the proof is settled
 	assert.Equal(t, send(t, "GET", url+"/get/deadly").StatusCode, http.StatusServiceUnavailable)
 
-	list, code := operate(t, g, "content", "list", "-o", "json")
+	list, code := runReelctl(t, g, "content", "list", "-o", "json")
 	assert.Equal(t, code, reelctl.ExitOK)
 	var reports []quarantine.Report
 	assert.NilError(t, json.Unmarshal([]byte(list), &reports))
 	assert.Equal(t, len(reports), 1)
 	assert.Equal(t, reports[0].Content, c.Fingerprint().String())
 	assert.Equal(t, len(reports[0].Targets), 3)
-	list, _ = operate(t, g, "content", "list")
+	list, _ = runReelctl(t, g, "content", "list")
 	assert.Assert(t, strings.Contains(list, "quarantined"), list)
 
-	_, code = operate(t, g, "content", "lift", "12")
+	_, code = runReelctl(t, g, "content", "lift", "12")
 	assert.Equal(t, code, reelctl.ExitUsage)
-	_, code = operate(t, g, "content", "lift", deadly("GET", "/get/other").Fingerprint().String())
+	_, code = runReelctl(t, g, "content", "lift", deadlyContent("GET", "/get/other").Fingerprint().String())
 	assert.Equal(t, code, reelctl.ExitRefused)
-	_, code = operate(t, g, "content", "lift", reports[0].Content)
+	_, code = runReelctl(t, g, "content", "lift", reports[0].Content)
 	assert.Equal(t, code, reelctl.ExitOK)
 	assert.Equal(t, send(t, "GET", url+"/get/deadly").StatusCode, http.StatusOK)
 }
 
-// operate runs a command of reelctl against an instance and returns its output and exit code.
-func operate(t *testing.T, g *Gateway, args ...string) (string, int) {
+// runReelctl runs a reelctl command against an instance and returns its output and exit code.
+func runReelctl(t *testing.T, g *Gateway, args ...string) (string, int) {
 	var commands reelctl.Commands
 	var out strings.Builder
 	k, err := kong.Must(&commands, kong.Name("reelctl")).Parse(append(args, "--admin", g.settings.ReadyListen))
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -58,8 +58,8 @@
 	contents        *quarantine.Table
 	poison          *poison.Table
 	rates           *Rates
-	contentSync     *keeper
-	pendingEvidence untold
+	contentSync     *contentSyncer
+	pendingEvidence evidenceQueue
 	client          *exchange.Client
 	handler         *Handler
 	metrics         *Metrics
@@ -80,19 +80,19 @@
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(s.MemoryBytes)))
 	g := &Gateway{settings: s, booted: time.Now(), metrics: NewMetrics()}
 	g.knowledge = NewKnowledge(&placement.Chooser{Weights: s.Weights, Self: fleet.InstanceID(s.PeerListen), Zone: s.Zone, Random: rand.Float64}, s.Retry, g.booted)
-	g.contents = quarantine.New(logContent)
+	g.contents = quarantine.New(logStandingChange)
 	g.poison = poison.New()
 	g.state = statesync.NewState(uint64(g.booted.UnixNano()), g.announceVersions)
 	g.state.LeaveWithin(s.RemovalTimeout)
 	g.state.OnRestart(func(ids []fleet.TargetID) { g.knowledge.Restarted(time.Now(), ids) })
-	g.client = &exchange.Client{Cache: exchange.NewCache(dialTimeout), Headers: s.Headers, MaxAnswer: maxResponseBytes, OnHead: g.heard, Admit: g.admits}
+	g.client = &exchange.Client{Cache: exchange.NewCache(dialTimeout), Headers: s.Headers, MaxAnswer: maxResponseBytes, OnHead: g.handleResponseHeader, Admit: g.admits}
 	if err := g.listen(); err != nil {
 		return nil, err
 	}
 	g.follower = statesync.NewFollower(statesync.Options{
 		State: g.state, Store: store, Peers: g.node.View, Self: g.node.Addr(), Zone: s.Zone, Know: g.node.AddPeers, Tell: g.announceVersions,
 	})
-	g.contentSync = &keeper{table: g.contents, store: store, reads: g.readsStore, tell: g.tellKept, booted: g.booted}
+	g.contentSync = &contentSyncer{table: g.contents, store: store, readEpoch: g.readsStore, announce: g.announceStoredContent, booted: g.booted}
 	return g, nil
 }
 
@@ -112,7 +112,7 @@
 	}
 	g.handler = &Handler{
 		State: g.state, Knowledge: g.knowledge, Client: g.client, SendUpdate: g.sendUpdate, SendLoad: g.node.SendLoad, RequestLoans: g.node.RequestLoans, Metrics: g.metrics,
-		Contents: g.contents, SendContent: g.tellContent, RunsTrial: g.triesHere, Poison: g.poison, Rates: g.rates,
+		Contents: g.contents, SendContent: g.announceContent, RunsTrial: g.runsTrials, Poison: g.poison, Rates: g.rates,
 		Booted: g.booted, Bodies: &Bodies{MaxBytes: int64(bodiesMemoryFraction * float64(s.MemoryBytes))},
 	}
 	g.callerServer, err = listenForCallers(s.Listen, g.handler)
@@ -123,7 +123,7 @@
 func (g *Gateway) fillHeartbeat(now time.Time, p *mesh.Packet) {
 	g.fillVersions(p)
 	g.knowledge.Fill(now, p)
-	g.fillUntold(now, p)
+	g.fillQueuedEvidence(now, p)
 	g.fillContents(now, p)
 	g.rates.fill(now, p)
 	g.fillDepartures(now, p)
@@ -159,7 +159,7 @@
 // sendUpdate sends an update to the other instances at once.
 func (g *Gateway) sendUpdate(p mesh.Packet) {
 	g.fillVersions(&p)
-	g.fillUntold(time.Now(), &p)
+	g.fillQueuedEvidence(time.Now(), &p)
 	g.node.SendUpdate(p)
 }
 
@@ -173,9 +173,9 @@
 // handlePacket handles a packet of another instance.
 func (g *Gateway) handlePacket(now time.Time, p *mesh.Packet) {
 	g.knowledge.Take(now, p)
-	g.takeContents(now, p)
-	g.rates.take(now, p)
-	g.takeDepartures(p)
+	g.handleContents(now, p)
+	g.rates.handlePacket(now, p)
+	g.handleDepartures(p)
 	if len(p.LoanRequests) > 0 {
 		g.lendBudget(now, p)
 	}
@@ -253,7 +253,7 @@
 	if !found {
 		return c.String(http.StatusNotFound, "nothing is held against this content here")
 	}
-	g.tellContent(now, evidence)
+	g.announceContent(now, evidence)
 	return c.NoContent(http.StatusNoContent)
 }
 
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -158,7 +158,7 @@
 		Body: body, HasBody: c.r.ContentLength != 0,
 	}
 	c.content = quarantine.Content{Method: c.request.Method, Host: c.request.Host, URI: uri, Body: body}
-	if c.standing() == quarantine.Quarantined && !c.onTrial() {
+	if c.standing() == quarantine.Quarantined && !c.startTrial() {
 		return c.refuseContent()
 	}
 	c.service = c.route.NextService()
--- a/gateway/keeper.go
+++ b/gateway/keeper.go
@@ -11,74 +11,79 @@
 	"github.com/clementinereel/clementinereel/wait"
 )
 
-// ContentStore keeps contents that may crash their targets beyond the loss of all instances.
+// ContentStore persists contents that may crash their targets, so that they outlive the loss of all
+// instances.
 type ContentStore interface {
-	// Contents returns the contents that are kept, with times by the time of day. Those whose quarantine
-	// had settled are upheld.
+	// Contents returns the stored contents, with times by the wall clock. Those whose quarantine had
+	// settled are marked Upheld.
 	Contents(ctx context.Context) ([]quarantine.Evidence, error)
-	// KeepContent keeps one, ReleaseContent forgets it. To do so twice does no harm.
+	// KeepContent stores a content and ReleaseContent deletes it. Both are idempotent.
 	KeepContent(ctx context.Context, e quarantine.Evidence) error
 	ReleaseContent(ctx context.Context, f quarantine.Fingerprint) error
 }
 
-// Store is what an instance needs of the platform.
+// Store is the part of the platform that an instance uses.
 type Store interface {
 	statesync.Store
 	ContentStore
 }
 
 const (
-	// keepEvery is the time between looks whether the store has what it is to keep.
-	keepEvery = 250 * time.Millisecond
-	// loadEvery is the same in a process that has just started, for loadSoonFor: until it knows what is
-	// kept, requests that crash targets pass.
-	loadEvery   = 20 * time.Millisecond
-	loadSoonFor = 3 * time.Second
-	// keptMost bounds the contents that are kept before they have settled.
-	keptMost = 64
-	// keepTimeout bounds a call.
-	keepTimeout = 2 * time.Second
-	// keepBackOffMin and keepBackOffMax bound the pause after a call that failed.
-	keepBackOffMin, keepBackOffMax = 500 * time.Millisecond, 8 * time.Second
+	// contentSyncInterval is the time between synchronizations of the table with the store.
+	contentSyncInterval = 250 * time.Millisecond
+	// contentLoadInterval replaces contentSyncInterval in a process that has started less than
+	// contentLoadPeriod ago and has not loaded the stored contents: until then requests that crash
+	// targets pass.
+	contentLoadInterval = 20 * time.Millisecond
+	contentLoadPeriod   = 3 * time.Second
+	// maxUnsettledStored is the number of stored contents from which on contents whose quarantine has
+	// not settled are no longer added.
+	maxUnsettledStored = 64
+	// contentStoreTimeout bounds the store calls of one synchronization.
+	contentStoreTimeout = 2 * time.Second
+	// minContentStoreBackoff and maxContentStoreBackoff bound the pause after a failed call.
+	minContentStoreBackoff, maxContentStoreBackoff = 500 * time.Millisecond, 8 * time.Second
 )
 
-// keeper brings the store's copy of the contents that may be at fault and the table's in line: it takes over what is
-// kept and tells the others, then writes what comes and removes what goes. Only instances that read the store for
-// their zone do so, a few of each; the others hear of it from them.
-type keeper struct {
+// contentSyncer synchronizes the table of contents that may be at fault with the store: it loads the
+// stored contents, announces them to the other instances, and then writes changes back. Only readers
+// do so, the few instances of each zone that read the store; the others receive the contents from
+// them.
+type contentSyncer struct {
 	table *quarantine.Table
 	store ContentStore
-	// reads tells whether the instance reads the store at present, and in which epoch of the store.
-	reads func() (registry.Epoch, bool)
-	// tell tells the other instances of a content.
-	tell func(now time.Time, e quarantine.Evidence)
+	// readEpoch returns the epoch of the store, and false if the instance is not a reader at present.
+	readEpoch func() (registry.Epoch, bool)
+	// announce sends a content to the other instances.
+	announce func(now time.Time, e quarantine.Evidence)
 	// booted is when the process started.
 	booted time.Time
-	// kept are the contents that the store has; loaded tells whether that is known, for loadedIn.
-	kept     map[quarantine.Fingerprint]kept
-	loaded   bool
-	loadedIn registry.Epoch
+	// stored has what the store holds of each content. It is valid if loaded, in the store epoch
+	// loadedEpoch.
+	stored      map[quarantine.Fingerprint]record
+	loaded      bool
+	loadedEpoch registry.Epoch
 }
 
-// kept is what the store has of a content.
-type kept struct {
+// record summarizes what the store holds of a content.
+type record struct {
 	settled bool
 	losses  int
 }
 
-// keptOf is what the store has once it has the evidence.
-func keptOf(e *quarantine.Evidence) kept { return kept{settled: e.Upheld, losses: len(e.Losses)} }
+// recordOf returns the summary of stored evidence.
+func recordOf(e *quarantine.Evidence) record { return record{settled: e.Upheld, losses: len(e.Losses)} }
 
-// lacks tells whether the store is to have the evidence in place of what it has.
-func (k kept) lacks(e *quarantine.Evidence) bool {
-	return k.settled != e.Upheld || !e.Upheld && k.losses < len(e.Losses)
+// outdated reports whether the evidence has to replace what the store holds.
+func (r record) outdated(e *quarantine.Evidence) bool {
+	return r.settled != e.Upheld || !e.Upheld && r.losses < len(e.Losses)
 }
 
-// run keeps the copies in line until ctx ends.
-func (k *keeper) run(ctx context.Context) {
-	b := wait.Backoff{Min: keepBackOffMin, Max: keepBackOffMax}
-	for wait.For(ctx, k.pause(time.Now())) {
-		if err := k.step(ctx, time.Now()); err != nil {
+// run synchronizes until ctx ends.
+func (s *contentSyncer) run(ctx context.Context) {
+	b := wait.Backoff{Min: minContentStoreBackoff, Max: maxContentStoreBackoff}
+	for wait.For(ctx, s.interval(time.Now())) {
+		if err := s.syncOnce(ctx, time.Now()); err != nil {
 			eventlog.Error(eventlog.StoreCallFailed, err, "call", "contents")
 			b.Pause(ctx)
 			continue
@@ -87,80 +92,80 @@
 	}
 }
 
-// pause is the time until the next look.
-func (k *keeper) pause(now time.Time) time.Duration {
-	if !k.loaded && now.Sub(k.booted) < loadSoonFor {
-		return loadEvery
+// interval returns the time until the next synchronization.
+func (s *contentSyncer) interval(now time.Time) time.Duration {
+	if !s.loaded && now.Sub(s.booted) < contentLoadPeriod {
+		return contentLoadInterval
 	}
-	return keepEvery
+	return contentSyncInterval
 }
 
-// step brings them in line once.
-func (k *keeper) step(ctx context.Context, now time.Time) error {
-	ctx, cancel := context.WithTimeout(ctx, keepTimeout)
+// syncOnce loads the stored contents if necessary and writes changes back.
+func (s *contentSyncer) syncOnce(ctx context.Context, now time.Time) error {
+	ctx, cancel := context.WithTimeout(ctx, contentStoreTimeout)
 	defer cancel()
-	epoch, reads := k.reads()
-	if !reads {
-		k.loaded = false
+	epoch, isReader := s.readEpoch()
+	if !isReader {
+		s.loaded = false
 		return nil
 	}
-	if !k.loaded || epoch != k.loadedIn {
-		if err := k.load(ctx, now); err != nil {
+	if !s.loaded || epoch != s.loadedEpoch {
+		if err := s.load(ctx, now); err != nil {
 			return err
 		}
-		k.loaded, k.loadedIn = true, epoch
+		s.loaded, s.loadedEpoch = true, epoch
 	}
-	return k.write(ctx, now)
+	return s.write(ctx, now)
 }
 
-// load takes over what the store has.
-func (k *keeper) load(ctx context.Context, now time.Time) error {
-	es, err := k.store.Contents(ctx)
+// load applies and announces the stored contents.
+func (s *contentSyncer) load(ctx context.Context, now time.Time) error {
+	es, err := s.store.Contents(ctx)
 	if err != nil {
 		return err
 	}
-	k.kept = make(map[quarantine.Fingerprint]kept, len(es))
+	s.stored = make(map[quarantine.Fingerprint]record, len(es))
 	for _, e := range es {
-		k.kept[e.Content] = keptOf(&e)
-		e = steady(now, e)
-		k.table.Take(now, e, "store")
-		k.tell(now, e)
+		s.stored[e.Content] = recordOf(&e)
+		e = toMonotonic(now, e)
+		s.table.Take(now, e, "store")
+		s.announce(now, e)
 	}
 	return nil
 }
 
-// steady turns times of day into times of the steady clock: the time of day may jump later.
-func steady(now time.Time, e quarantine.Evidence) quarantine.Evidence {
+// toMonotonic converts wall-clock times to monotonic ones, since the wall clock may jump later.
+func toMonotonic(now time.Time, e quarantine.Evidence) quarantine.Evidence {
 	for i, l := range e.Losses {
 		took := l.Ended.Sub(l.Began)
-		ago := max(now.Round(0).Sub(l.Ended), 0)
-		e.Losses[i].Ended = now.Add(-ago)
+		age := max(now.Round(0).Sub(l.Ended), 0)
+		e.Losses[i].Ended = now.Add(-age)
 		e.Losses[i].Began = e.Losses[i].Ended.Add(-took)
 	}
 	return e
 }
 
-// write writes what the store lacks and removes what is over.
-func (k *keeper) write(ctx context.Context, now time.Time) error {
-	for f, e := range k.table.Keep(now) {
-		has, known := k.kept[f]
-		if known && !has.lacks(&e) || !known && !e.Upheld && len(k.kept) >= keptMost {
+// write stores what the store lacks and deletes contents that can no longer be at fault.
+func (s *contentSyncer) write(ctx context.Context, now time.Time) error {
+	for f, e := range s.table.Keep(now) {
+		current, found := s.stored[f]
+		if found && !current.outdated(&e) || !found && !e.Upheld && len(s.stored) >= maxUnsettledStored {
 			continue
 		}
-		if err := k.store.KeepContent(ctx, e); err != nil {
+		if err := s.store.KeepContent(ctx, e); err != nil {
 			return err
 		}
-		k.kept[f] = keptOf(&e)
-		eventlog.Info(eventlog.ContentKept, "content", f, "kept", true, "settled", e.Upheld, "targets", targetsOf(e), "age_ms", provenFor(now, e).Milliseconds())
+		s.stored[f] = recordOf(&e)
+		eventlog.Info(eventlog.ContentKept, "content", f, "kept", true, "settled", e.Upheld, "targets", lossTargets(e), "age_ms", proofAge(now, e).Milliseconds())
 	}
-	for f := range k.kept {
-		if k.table.MayBeAtFault(f) {
+	for f := range s.stored {
+		if s.table.MayBeAtFault(f) {
 			continue
 		}
-		if err := k.store.ReleaseContent(ctx, f); err != nil {
+		if err := s.store.ReleaseContent(ctx, f); err != nil {
 			return err
 		}
-		delete(k.kept, f)
+		delete(s.stored, f)
 		eventlog.Info(eventlog.ContentKept, "content", f, "kept", false)
 	}
 	return nil
--- a/gateway/keeper_test.go
+++ b/gateway/keeper_test.go
@@ -12,14 +12,14 @@
 	"github.com/clementinereel/clementinereel/registry"
 )
 
-// contentsInMemory is a store of contents that counts its calls.
-type contentsInMemory struct {
+// memoryContentStore is a ContentStore in memory that counts its calls.
+type memoryContentStore struct {
 	kept  map[quarantine.Fingerprint]quarantine.Evidence
 	calls int
 	err   error
 }
 
-func (s *contentsInMemory) Contents(context.Context) ([]quarantine.Evidence, error) {
+func (s *memoryContentStore) Contents(context.Context) ([]quarantine.Evidence, error) {
 	s.calls++
 	var out []quarantine.Evidence
 	for _, e := range s.kept {
@@ -28,7 +28,7 @@
 	return out, s.err
 }
 
-func (s *contentsInMemory) KeepContent(_ context.Context, e quarantine.Evidence) error {
+func (s *memoryContentStore) KeepContent(_ context.Context, e quarantine.Evidence) error {
 	s.calls++
 	if s.err == nil {
 		s.kept[e.Content] = e
@@ -36,80 +36,84 @@
 	return s.err
 }
 
-func (s *contentsInMemory) ReleaseContent(_ context.Context, f quarantine.Fingerprint) error {
+func (s *memoryContentStore) ReleaseContent(_ context.Context, f quarantine.Fingerprint) error {
 	s.calls++
 	delete(s.kept, f)
 	return s.err
 }
 
-// reader is the keeper of an instance that reads the store.
-func reader(s *contentsInMemory, epoch *registry.Epoch, reads *bool) *keeper {
-	return &keeper{table: quarantine.New(logContent), store: s, reads: func() (registry.Epoch, bool) { return *epoch, *reads }, tell: func(time.Time, quarantine.Evidence) {}}
+// newContentSyncer returns the contentSyncer of an instance that reads the store while reads is set.
+func newContentSyncer(s *memoryContentStore, epoch *registry.Epoch, reads *bool) *contentSyncer {
+	return &contentSyncer{table: quarantine.New(logStandingChange), store: s, readEpoch: func() (registry.Epoch, bool) { return *epoch, *reads }, announce: func(time.Time, quarantine.Evidence) {}}
 }
 
-func TestTheStoreKeepsWhatIsInQuarantine(t *testing.T) {
-	s := &contentsInMemory{kept: make(map[quarantine.Fingerprint]quarantine.Evidence)}
+// TestStoreKeepsQuarantinedContents checks that quarantined contents are stored, loaded by new
+// processes, restored into a store that lost them, and deleted once served or expired.
+func TestStoreKeepsQuarantinedContents(t *testing.T) {
+	s := &memoryContentStore{kept: make(map[quarantine.Fingerprint]quarantine.Evidence)}
 	epoch, reads := registry.Epoch(1), true
-	k := reader(s, &epoch, &reads)
+	k := newContentSyncer(s, &epoch, &reads)
 	now := time.Now()
-	c := deadly("GET", "/get/deadly")
-	step := func(k *keeper) {
-		now = now.Add(keepEvery)
-		assert.NilError(t, k.step(t.Context(), now))
+	c := deadlyContent("GET", "/get/deadly")
+	step := func(k *contentSyncer) {
+		now = now.Add(contentSyncInterval)
+		assert.NilError(t, k.syncOnce(t.Context(), now))
 	}
 	step(k)
 	k.table.Take(now, quarantine.Evidence{Content: c.Fingerprint(), Losses: lossesAt(now, "gone", time.Second, 3)}, "peer")
 	step(k)
 	assert.Equal(t, len(s.kept), 1)
 
-	// Calls are made only where something is to be changed.
+	// Without changes the store is not called.
 	calls := s.calls
 	for range 20 {
 		step(k)
 	}
 	assert.Equal(t, s.calls, calls)
 
-	// A process that starts takes it over, one that does not read the store leaves that to others.
-	next := reader(s, &epoch, &reads)
+	// A new reader loads the content; an instance that is not a reader does not.
+	next := newContentSyncer(s, &epoch, &reads)
 	step(next)
 	assert.Equal(t, next.table.Standing(now.Add(time.Second), c), quarantine.Quarantined)
 	no := false
-	other := reader(s, &epoch, &no)
+	other := newContentSyncer(s, &epoch, &no)
 	step(other)
 	assert.Equal(t, other.table.Standing(now.Add(time.Second), c), quarantine.Unsuspected)
 
-	// A store that was restored from a copy without it gets it again.
+	// A store that was restored from a copy without the content gets it again.
 	clear(s.kept)
 	epoch++
 	step(next)
 	assert.Equal(t, len(s.kept), 1)
 
-	// What was served is released, and so is what is over.
+	// Contents that were served or have expired are deleted.
 	next.table.Served(now, c)
 	step(next)
 	assert.Equal(t, len(s.kept), 0)
-	k.kept = nil
+	k.stored = nil
 	s.kept[c.Fingerprint()] = quarantine.Evidence{Content: c.Fingerprint(), Losses: lossesAt(now, "gone", 2*quarantine.KeepFor, 3)}
-	last := reader(s, &epoch, &reads)
+	last := newContentSyncer(s, &epoch, &reads)
 	step(last)
 	last.table.Tick(now)
 	step(last)
 	assert.Equal(t, len(s.kept), 0)
 }
 
-func TestAStoreThatIsAwayIsAskedAgain(t *testing.T) {
-	s := &contentsInMemory{kept: make(map[quarantine.Fingerprint]quarantine.Evidence), err: errors.New("away")}
+// TestFailedStoreCallsAreRepeated checks that loading and writing are repeated after the store was
+// unavailable.
+func TestFailedStoreCallsAreRepeated(t *testing.T) {
+	s := &memoryContentStore{kept: make(map[quarantine.Fingerprint]quarantine.Evidence), err: errors.New("unavailable")}
 	epoch, reads := registry.Epoch(1), true
-	k := reader(s, &epoch, &reads)
+	k := newContentSyncer(s, &epoch, &reads)
 	now := time.Now()
-	assert.ErrorContains(t, k.step(t.Context(), now), "away")
+	assert.ErrorContains(t, k.syncOnce(t.Context(), now), "unavailable")
 	s.err = nil
-	assert.NilError(t, k.step(t.Context(), now))
-	c := deadly("GET", "/get/deadly")
+	assert.NilError(t, k.syncOnce(t.Context(), now))
+	c := deadlyContent("GET", "/get/deadly")
 	k.table.Take(now, quarantine.Evidence{Content: c.Fingerprint(), Losses: lossesAt(now, "gone", time.Second, 3)}, "peer")
-	s.err = errors.New("away")
-	assert.ErrorContains(t, k.step(t.Context(), now.Add(time.Second)), "away")
+	s.err = errors.New("unavailable")
+	assert.ErrorContains(t, k.syncOnce(t.Context(), now.Add(time.Second)), "unavailable")
 	s.err = nil
-	assert.NilError(t, k.step(t.Context(), now.Add(time.Second)))
+	assert.NilError(t, k.syncOnce(t.Context(), now.Add(time.Second)))
 	assert.Equal(t, len(s.kept), 1)
 }
--- a/gateway/learn.go
+++ b/gateway/learn.go
@@ -16,8 +16,8 @@
 func (c *call) learn(e attemptResult) {
 	began := time.Now().Add(-e.result.Took)
 	c.h.Metrics.CountAttempt(c.service, e.result.Kind)
-	c.learnContent(e, began)
-	c.learnRate(e, began)
+	c.recordContent(e, began)
+	c.recordRate(e, began)
 	if e.result.Reused && e.result.Answer != nil {
 		c.h.Knowledge.Rested(time.Now(), c.service, e.result.IdleFor)
 	}
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -86,7 +86,7 @@
 		m.Registry.Gauge("gateway.records.refused", telemetry.Label{Key: "cause", Value: string(cause)}).Update(n)
 	}
 	gauge("gateway.targets.departed", int64(len(g.state.Departures())))
-	gauge("gateway.targets.backoff", int64(len(g.knowledge.backoffs(time.Now()))))
+	gauge("gateway.targets.backoff", int64(len(g.knowledge.activeBackoffs(time.Now()))))
 	gauge("gateway.targets.rated", int64(g.rates.table.Len()))
 	for s, n := range g.contents.Counts() {
 		m.Registry.Gauge("gateway.contents", telemetry.Label{Key: "standing", Value: s.String()}).Update(int64(n))
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -54,7 +54,7 @@
 		k.takeDigest(now, p.Zone, p.Digest)
 	}
 	k.adopt(now, p.Estimates, p.Addr)
-	k.takeBackoffs(now, p.Backoffs)
+	k.applyPeerBackoffs(now, p.Backoffs)
 	for _, e := range p.Evidence {
 		began := now.Add(-millis(e.AgeMillis))
 		k.observe(now, e, began, p.Addr)
--- a/gateway/poison_test.go
+++ b/gateway/poison_test.go
@@ -13,19 +13,21 @@
 	"github.com/clementinereel/clementinereel/quarantine"
 )
 
-// TestARequestThatFailsEverywhereSpeaksForNoTarget: one request failed, hung or broke at each sound target
-// that it came to, and came again and again. Each target was held to be sick for it by the instance and all that it
-// told, and each time the request took a further attempt out of the budget that all share.
-func TestARequestThatFailsEverywhereSpeaksForNoTarget(t *testing.T) {
+// TestRequestFailingEverywhereKeepsTargetsHealthy guards against a request that fails, hangs or
+// breaks the connection at each healthy target and is sent repeatedly. Each of the targets was then
+// estimated as unhealthy by the instance and its peers, and each repetition took a further attempt
+// from the shared retry budget.
+func TestRequestFailingEverywhereKeepsTargetsHealthy(t *testing.T) {
 	const (
 		targets = 6
-		// learnsIn is when the request is known and what was held against targets until then is over: two failures
-		// cannot be told from two sick targets. One that hangs may come to one target again and again, and is
-		// not known for that; then it is asked for after so many rounds.
-		learnsIn    = 30 * time.Second
-		mostUnknown = 20
-		lasts       = 3 * time.Second
-		perRound    = 20 * time.Millisecond
+		// clearTimeout bounds the time until the request is recognized and no target is suspected any
+		// more: two failures cannot be told apart from two unhealthy targets. A request that hangs
+		// may reach the same target again and again and is then not recognized; after maxUnrecognized
+		// rounds it is no longer waited for.
+		clearTimeout    = 30 * time.Second
+		maxUnrecognized = 20
+		observeTime     = 3 * time.Second
+		roundInterval   = 20 * time.Millisecond
 	)
 	for name, fails := range map[string]func(http.ResponseWriter, *http.Request){
 		"answered 500": respondWith(http.StatusInternalServerError),
@@ -51,7 +53,7 @@
 			poison := &quarantine.Content{Method: "GET", Host: "h", URI: "/get/poison", Body: []byte("order")}
 			rounds, most := 0, 0
 			var clear time.Time
-			for begin := time.Now(); clear.IsZero() && time.Since(begin) < learnsIn || time.Since(clear) < lasts; time.Sleep(perRound) {
+			for begin := time.Now(); clear.IsZero() && time.Since(begin) < clearTimeout || time.Since(clear) < observeTime; time.Sleep(roundInterval) {
 				rounds++
 				for m := range targets {
 					status, _, _ := sendRequest(t.Context(), t, "GET", fmt.Sprint(url, "/get/", rounds, "-", m))
@@ -62,13 +64,13 @@
 				switch {
 				case !clear.IsZero():
 					most = max(most, suspects)
-				case suspects == 0 && (rounds > mostUnknown || g.poison.AtFault(time.Now(), poison)):
+				case suspects == 0 && (rounds > maxUnrecognized || g.poison.AtFault(time.Now(), poison)):
 					clear = time.Now()
 				}
 			}
-			assert.Check(t, !clear.IsZero(), "sound targets are held to be sick after %v", learnsIn)
-			assert.Check(t, most == 0, "%d sound targets are held to be sick again", most)
-			assert.Check(t, int(poisoned.Load()) <= rounds+4, "%d attempts of %d requests", poisoned.Load(), rounds)
+			assert.Check(t, !clear.IsZero(), "healthy targets are still suspected after %v", clearTimeout)
+			assert.Check(t, most == 0, "%d healthy targets are suspected again", most)
+			assert.Check(t, int(poisoned.Load()) <= rounds+4, "%d attempts for %d requests", poisoned.Load(), rounds)
 		})
 	}
 }
--- a/gateway/rates.go
+++ b/gateway/rates.go
@@ -14,46 +14,50 @@
 	"github.com/clementinereel/clementinereel/targetrate"
 )
 
-// This file asks for requests at targets that name rates, and grants them where this instance holds one.
+// This file obtains permission to send requests to rate-limited targets, and grants it for the rates
+// that this instance holds. A target under pressure names a rate in requests per second for all
+// instances together. One instance at a time, the holder, has the whole rate; the others request a
+// token from it for each request.
 
 const (
-	// tokenWait is how long a request waits for the holder of a rate, which answers within 1 to 5 ms;
-	// tokenAgain is after which time it asks once more: a datagram may be lost.
-	tokenWait  = 24 * time.Millisecond
-	tokenAgain = 8 * time.Millisecond
-	// answersKept is how many answers a holder can give again.
-	answersKept = 256
-	// unansweredFor is for how long a target is not asked for after its holder did not answer, or is
-	// not known.
-	unansweredFor = 100 * time.Millisecond
-	// heardFor is for how long an instance that fell silent is still taken to hold rates. Two that
-	// hold one grant it twice.
-	heardFor = 3 * time.Second
-	// youngHolder is the age below which a process leaves it to others: it may not have heard of
-	// them yet.
-	youngHolder = 3 * time.Second
-	// comeBackMost bounds for how long a caller is told to stay away since targets take no more.
-	comeBackMost = 3 * time.Second
-	// leastSlots is the least part of a slot that a target with a low rate counts as.
-	leastSlots = 0.01
-	// zoneLostAfter is when a zone of which nothing is heard is taken to have no instances.
-	zoneLostAfter = time.Minute
-	// oldestRate is the age from which what is told of a rate is none.
-	oldestRate = 24 * time.Hour
-	// ratesMost bounds the rates in one datagram, about 35 bytes each.
-	ratesMost = 24
+	// tokenTimeout bounds the wait for a token; the holder usually replies within 1–5 ms.
+	// tokenRetryInterval is the time after which the request is repeated, since a datagram may be
+	// lost.
+	tokenTimeout       = 24 * time.Millisecond
+	tokenRetryInterval = 8 * time.Millisecond
+	// maxTokenReplies is the number of replies that a holder keeps for repeated requests.
+	maxTokenReplies = 256
+	// holderUnavailableDelay is the time for which no token is requested for a target whose holder
+	// did not reply or is unknown.
+	holderUnavailableDelay = 100 * time.Millisecond
+	// holderTimeout is the silence after which an instance is no longer considered a holder. Two
+	// instances that hold the same rate grant it twice.
+	holderTimeout = 3 * time.Second
+	// minHolderAge is the process age below which an instance holds a rate only if there is no older
+	// candidate: it may not have discovered the others yet.
+	minHolderAge = 3 * time.Second
+	// maxRetryAfter bounds the Retry-After that callers get while targets accept no more requests.
+	maxRetryAfter = 3 * time.Second
+	// minSlots is the least number of slots that a target with a low rate counts as.
+	minSlots = 0.01
+	// zoneTimeout is the silence after which a zone is considered to have no instances.
+	zoneTimeout = time.Minute
+	// maxRateAge is the age above which a received rate is rejected.
+	maxRateAge = 24 * time.Hour
+	// maxRatesPerPacket bounds the rates in one datagram; each takes about 35 bytes.
+	maxRatesPerPacket = 24
 )
 
-// rateNode is what rates need of the mesh.
+// rateNode is the part of mesh.Node that Rates uses.
 type rateNode interface {
 	Addr() string
 	View() mesh.View
 	TellRates(rates []mesh.TargetRate, far bool)
 	AskToken(holder string, a mesh.TokenRequest)
-	GiveToken(asker string, t mesh.TokenResponse)
+	GiveToken(requester string, t mesh.TokenResponse)
 }
 
-// Rates keeps to the rates that targets name, together with the other instances.
+// Rates enforces the rates that targets name, together with the other instances.
 type Rates struct {
 	table   *targetrate.Table
 	node    rateNode
@@ -62,37 +66,39 @@
 	targets func() *registry.View
 	metrics *Metrics
 
-	mu      sync.Mutex
-	number  uint64
-	waiting map[uint64]chan mesh.TokenResponse
-	leaving bool
-	// refused counts the requests of services whose targets take no more, as they come.
-	refused map[document.ServiceName]*refusals
-	// answered are the last answers to those that asked, in a ring.
-	answered     [answersKept]answeredAsk
-	answeredNext int
-	// zonesHeard is when each other zone was last heard of.
-	zonesHeard map[fleet.Zone]time.Time
+	mu sync.Mutex
+	// lastNumber is the number of the last token request, and pending has the reply channels by
+	// number.
+	lastNumber uint64
+	pending    map[uint64]chan mesh.TokenResponse
+	leaving    bool
+	// refusals has the rate of refused requests of each service whose targets accept no more.
+	refusals map[document.ServiceName]*refusalRate
+	// replies is a ring of the latest replies to token requests.
+	replies   [maxTokenReplies]tokenReply
+	nextReply int
+	// zonesSeen has the time of the last packet from each other zone.
+	zonesSeen map[fleet.Zone]time.Time
 }
 
-// answeredAsk is what an instance was answered.
-type answeredAsk struct {
-	asker string
-	boot  int64
-	token mesh.TokenResponse
+// tokenReply is a reply to a token request, with the instance that it went to.
+type tokenReply struct {
+	requester string
+	boot      int64
+	token     mesh.TokenResponse
 }
 
-// NewRates returns rates of which none is known.
+// NewRates returns a Rates without any rates.
 func NewRates(node rateNode, zone fleet.Zone, booted time.Time, targets func() *registry.View, m *Metrics) *Rates {
 	return &Rates{
 		table: targetrate.New(), node: node, zone: zone, booted: booted, targets: targets, metrics: m,
-		waiting:    make(map[uint64]chan mesh.TokenResponse),
-		refused:    make(map[document.ServiceName]*refusals),
-		zonesHeard: make(map[fleet.Zone]time.Time),
+		pending:   make(map[uint64]chan mesh.TokenResponse),
+		refusals:  make(map[document.ServiceName]*refusalRate),
+		zonesSeen: make(map[fleet.Zone]time.Time),
 	}
 }
 
-// Leave gives up what the instance holds.
+// Leave releases the rates that the instance holds.
 func (rs *Rates) Leave() {
 	rs.mu.Lock()
 	rs.leaving = true
@@ -100,41 +106,42 @@
 	rs.tick(time.Now())
 }
 
-// tick brings up to date which rates this instance holds.
+// tick updates the set of rates that this instance holds.
 func (rs *Rates) tick(now time.Time) {
 	if rs.table.Len() == 0 {
 		return
 	}
 	candidates := rs.candidates(now)
 	rs.table.UpdateHeld(now, func(id fleet.TargetID) bool {
-		return rs.ours(now, id) && targetrate.Holder(id, candidates) == rs.node.Addr()
+		return rs.heldInZone(now, id) && targetrate.Holder(id, candidates) == rs.node.Addr()
 	})
 }
 
-// candidates are the instances of the zone that may hold rates.
+// candidates returns the instances of the zone that may hold rates.
 func (rs *Rates) candidates(now time.Time) []targetrate.Candidate {
 	rs.mu.Lock()
 	leaving := rs.leaving
 	rs.mu.Unlock()
-	var cs []targetrate.Candidate
+	var all []targetrate.Candidate
 	if !leaving {
-		cs = append(cs, targetrate.Candidate{Addr: rs.node.Addr(), Young: now.Sub(rs.booted) < youngHolder})
+		all = append(all, targetrate.Candidate{Addr: rs.node.Addr(), Young: now.Sub(rs.booted) < minHolderAge})
 	}
 	v := rs.node.View()
 	for i := range v.Members {
 		m := &v.Members[i]
-		if m.Zone != rs.zone || m.Leaving || now.Sub(m.LastReceived) > heardFor {
+		if m.Zone != rs.zone || m.Leaving || now.Sub(m.LastReceived) > holderTimeout {
 			continue
 		}
-		cs = append(cs, targetrate.Candidate{Addr: m.Addr, Young: now.UnixMilli()-m.Boot < youngHolder.Milliseconds()})
+		all = append(all, targetrate.Candidate{Addr: m.Addr, Young: now.UnixMilli()-m.Boot < minHolderAge.Milliseconds()})
 	}
-	return cs
+	return all
 }
 
-// ours tells whether an instance of this zone holds the target's rate: that of the target's own zone does, or
-// if nothing was heard of that for long, that of the first zone that has instances. Until then nobody holds it, since
-// a zone that is cut off goes on by itself.
-func (rs *Rates) ours(now time.Time, id fleet.TargetID) bool {
+// heldInZone reports whether an instance of this zone holds the target's rate. The holder is in the
+// target's own zone or, if that zone has been silent for zoneTimeout, in the first zone by name that
+// has instances. Until the timeout no other zone holds the rate, since a zone that is cut off keeps
+// using it.
+func (rs *Rates) heldInZone(now time.Time, id fleet.TargetID) bool {
 	t := rs.targets().Target(id)
 	if t == nil {
 		return false
@@ -143,9 +150,9 @@
 		return true
 	}
 	rs.mu.Lock()
-	quiet := min(now.Sub(rs.zonesHeard[t.Zone]), now.Sub(rs.booted))
+	silence := min(now.Sub(rs.zonesSeen[t.Zone]), now.Sub(rs.booted))
 	rs.mu.Unlock()
-	if quiet < zoneLostAfter {
+	if silence < zoneTimeout {
 		return false
 	}
 	v := rs.node.View()
@@ -157,16 +164,16 @@
 	return true
 }
 
-// holder is the instance to ask for requests at a target; empty if it is not known.
+// holder returns the address of the instance that grants tokens for a target; empty if it is unknown.
 func (rs *Rates) holder(now time.Time, id fleet.TargetID) string {
-	if rs.ours(now, id) {
+	if rs.heldInZone(now, id) {
 		return targetrate.Holder(id, rs.candidates(now))
 	}
 	return rs.table.ReportedHolder(now, id)
 }
 
-// withheld returns those of the targets that get no request now.
-func (rs *Rates) withheld(now time.Time, ts []*registry.Target) []fleet.TargetID {
+// denied returns the targets to which no request may be sent at present.
+func (rs *Rates) denied(now time.Time, ts []*registry.Target) []fleet.TargetID {
 	if rs == nil || rs.table.Len() == 0 {
 		return nil
 	}
@@ -179,57 +186,59 @@
 	return ids
 }
 
-// refusals are those of a service lately.
-type refusals struct {
+// refusalRate is the recent rate of refused requests of a service.
+type refusalRate struct {
 	perSecond float64
 	at        time.Time
 }
 
-// note counts one more, and returns how many come a second.
-func (r *refusals) note(now time.Time) float64 {
+// add counts a refusal and returns the refusals per second, averaged exponentially with a time
+// constant of one second.
+func (r *refusalRate) add(now time.Time) float64 {
 	r.perSecond = 1 + r.perSecond*math.Exp(-now.Sub(r.at).Seconds())
 	r.at = now
 	return r.perSecond
 }
 
-// comeBackAfter is when a caller may come back that was refused since the service's targets take no more:
-// those that are refused by all instances spread over the time in which the targets take as many.
-func (rs *Rates) comeBackAfter(now time.Time, name document.ServiceName, ts []*registry.Target) time.Duration {
-	takes := 0.0
+// retryAfter returns the Retry-After for a caller that was refused because the service's targets
+// accept no more. It spreads the callers that all instances refuse over the time in which the targets
+// accept as many requests.
+func (rs *Rates) retryAfter(now time.Time, name document.ServiceName, ts []*registry.Target) time.Duration {
+	total := 0.0
 	for _, t := range ts {
-		takes += float64(rs.table.Rate(t.ID))
+		total += float64(rs.table.Rate(t.ID))
 	}
 	instances := rs.node.View().Instances()
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
-	r := rs.refused[name]
+	r := rs.refusals[name]
 	if r == nil {
-		r = new(refusals)
-		rs.refused[name] = r
+		r = new(refusalRate)
+		rs.refusals[name] = r
 	}
-	backlog := r.note(now) * float64(instances)
-	if takes == 0 {
+	backlog := r.add(now) * float64(instances)
+	if total == 0 {
 		return minRetryAfter
 	}
-	spread := min(time.Duration(backlog/takes*float64(time.Second)), comeBackMost)
+	spread := min(time.Duration(backlog/total*float64(time.Second)), maxRetryAfter)
 	return minRetryAfter + rand.N(spread+1)
 }
 
-// slots is how many requests a target works on at once, as far as its rate allows. Each takes as long as
-// is usual.
-func (rs *Rates) slots(t *registry.Target, usual time.Duration) float64 {
+// slots returns the number of requests that a target works on at once, as far as its rate allows, if
+// each takes the usual time.
+func (rs *Rates) slots(t *registry.Target, usualTime time.Duration) float64 {
 	slots := float64(max(t.Slots, 1))
 	if rs == nil {
 		return slots
 	}
 	if rate := rs.table.Rate(t.ID); rate > 0 {
-		return min(slots, max(float64(rate)*usual.Seconds(), leastSlots))
+		return min(slots, max(float64(rate)*usualTime.Seconds(), minSlots))
 	}
 	return slots
 }
 
-// Admit tells whether a request may be sent to a target now. It asks the holder of the target's rate, if
-// there is one.
+// Admit reports whether a request may be sent to a target now. It requests a token from the holder of
+// the target's rate, if the target has one.
 func (rs *Rates) Admit(ctx context.Context, id fleet.TargetID, urgent bool) bool {
 	if rs == nil {
 		return true
@@ -240,13 +249,13 @@
 		return true
 	}
 	holder := rs.holder(now, id)
-	wait, granted := unansweredFor, false
+	wait, granted := holderUnavailableDelay, false
 	switch holder {
 	case "":
 	case rs.node.Addr():
 		wait, granted = rs.table.Grant(now, id, urgent)
 	default:
-		wait, granted = rs.ask(ctx, holder, id, urgent)
+		wait, granted = rs.requestToken(ctx, holder, id, urgent)
 	}
 	rs.metrics.CountToken(granted)
 	if !granted {
@@ -255,88 +264,91 @@
 	return granted
 }
 
-// ask asks the holder and waits for its answer. One that comes too late is lost.
-func (rs *Rates) ask(ctx context.Context, holder string, id fleet.TargetID, urgent bool) (time.Duration, bool) {
-	answer := make(chan mesh.TokenResponse, 1)
+// requestToken requests a token from the holder and waits for the reply. A token that arrives too
+// late is lost.
+func (rs *Rates) requestToken(ctx context.Context, holder string, id fleet.TargetID, urgent bool) (time.Duration, bool) {
+	reply := make(chan mesh.TokenResponse, 1)
 	rs.mu.Lock()
-	rs.number++
-	number := rs.number
-	rs.waiting[number] = answer
+	rs.lastNumber++
+	number := rs.lastNumber
+	rs.pending[number] = reply
 	rs.mu.Unlock()
 	defer func() {
 		rs.mu.Lock()
-		delete(rs.waiting, number)
+		delete(rs.pending, number)
 		rs.mu.Unlock()
 	}()
-	end := time.NewTimer(tokenWait)
-	defer end.Stop()
-	again := time.NewTicker(tokenAgain)
-	defer again.Stop()
+	timeout := time.NewTimer(tokenTimeout)
+	defer timeout.Stop()
+	retry := time.NewTicker(tokenRetryInterval)
+	defer retry.Stop()
 	for {
-		rate := toldRate(time.Now(), rs.table.Latest(id), "")
+		rate := encodeNaming(time.Now(), rs.table.Latest(id), "")
 		rs.node.AskToken(holder, mesh.TokenRequest{Number: number, Rate: rate, Urgent: urgent})
 		select {
-		case t := <-answer:
+		case t := <-reply:
 			return millis(t.WaitMillis), t.Granted
-		case <-again.C:
-		case <-end.C:
-			return unansweredFor, false
+		case <-retry.C:
+		case <-timeout.C:
+			return holderUnavailableDelay, false
 		case <-ctx.Done():
-			return unansweredFor, false
+			return holderUnavailableDelay, false
 		}
 	}
 }
 
-// take takes in what another instance tells of rates, asks of this one, and answers.
-func (rs *Rates) take(now time.Time, p *mesh.Packet) {
+// handlePacket applies the rates in a packet, replies to its token requests, and delivers its tokens.
+func (rs *Rates) handlePacket(now time.Time, p *mesh.Packet) {
 	if p.Zone != rs.zone {
 		rs.mu.Lock()
-		rs.zonesHeard[p.Zone] = now
+		rs.zonesSeen[p.Zone] = now
 		rs.mu.Unlock()
 	}
 	for _, r := range p.Rates {
-		rs.hear(now, p, r)
+		rs.applyRate(now, p, r)
 	}
 	for _, a := range p.TokenRequests {
-		rs.hear(now, p, a.Rate)
-		rs.node.GiveToken(p.Addr, rs.answerOnce(now, p, a))
+		rs.applyRate(now, p, a.Rate)
+		rs.node.GiveToken(p.Addr, rs.replyOnce(now, p, a))
 	}
 	for _, t := range p.TokenResponses {
 		rs.mu.Lock()
-		answer := rs.waiting[t.Number]
+		reply := rs.pending[t.Number]
 		rs.mu.Unlock()
-		if answer != nil {
+		if reply != nil {
 			select {
-			case answer <- t:
-			default: // it was answered
+			case reply <- t:
+			default: // already replied
 			}
 		}
 	}
 }
 
-// answerOnce answers one that asks; if the same is asked again, in the same words.
-func (rs *Rates) answerOnce(now time.Time, p *mesh.Packet, a mesh.TokenRequest) mesh.TokenResponse {
+// replyOnce replies to a token request. A repeated request gets the same reply and uses no further
+// token.
+func (rs *Rates) replyOnce(now time.Time, p *mesh.Packet, a mesh.TokenRequest) mesh.TokenResponse {
 	rs.mu.Lock()
-	for i := range rs.answered {
-		k := &rs.answered[i]
-		if k.token.Number == a.Number && k.asker == p.Addr && k.boot == p.Boot {
-			t := k.token
+	for i := range rs.replies {
+		r := &rs.replies[i]
+		if r.token.Number == a.Number && r.requester == p.Addr && r.boot == p.Boot {
+			t := r.token
 			rs.mu.Unlock()
 			return t
 		}
 	}
 	rs.mu.Unlock()
-	t := rs.answer(now, a)
+	t := rs.reply(now, a)
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
-	rs.answered[rs.answeredNext%answersKept] = answeredAsk{p.Addr, p.Boot, t}
-	rs.answeredNext++
+	rs.replies[rs.nextReply%maxTokenReplies] = tokenReply{p.Addr, p.Boot, t}
+	rs.nextReply++
 	return t
 }
 
-// answer is what the holder of a rate says to one that asks.
-func (rs *Rates) answer(now time.Time, a mesh.TokenRequest) mesh.TokenResponse {
-	t := mesh.TokenResponse{Number: a.Number, WaitMillis: unansweredFor.Milliseconds()}
+// reply grants a token if this instance holds the rate and the rate allows one, and otherwise returns
+// the time to wait.
+func (rs *Rates) reply(now time.Time, a mesh.TokenRequest) mesh.TokenResponse {
+	t := mesh.TokenResponse{Number: a.Number, WaitMillis: holderUnavailableDelay.Milliseconds()}
 	if rs.holder(now, a.Rate.Target) != rs.node.Addr() {
 		return t
 	}
--- a/gateway/rates_test.go
+++ b/gateway/rates_test.go
@@ -21,43 +21,43 @@
 )
 
 var (
-	rateSeeds = flag.Int("rate-seeds", 4, "seeds of the model of targets' rates")
-	rateSize  = flag.Int("rate-size", 36, "instances of the fleet: 36, 130, 300 or 920")
-	rateFirst = flag.Uint64("rate-first", 1, "the first of them")
+	rateSeeds     = flag.Int("rate-seeds", 4, "number of seeds of the rate simulation")
+	rateSize      = flag.Int("rate-size", 36, "instances of the fleet: 36, 130, 300 or 920")
+	rateFirstSeed = flag.Uint64("rate-first", 1, "first seed of the rate simulation")
 )
 
-// rateFleet is a fleet of real Rates before a modelled network.
+// rateFleet is a fleet of real Rates connected by a simulated network.
 type rateFleet struct {
 	random    *rand.Rand
 	mu        sync.Mutex // guards random and arrivals
 	instances []*rateInstance
 	byAddr    map[string]*rateInstance
 	targets   *registry.View
-	// named is the rate that each target names; 0 if none.
-	named map[fleet.TargetID]targetrate.Rate
-	// arrivals are those at each target.
+	// rates has the rate that each target names; 0 if none.
+	rates map[fleet.TargetID]targetrate.Rate
+	// arrivals has the arrival times of requests at each target.
 	arrivals map[fleet.TargetID][]time.Time
-	// cut are zones that do not hear others.
-	cut map[fleet.Zone]bool
+	// partitioned has the zones that exchange no packets with others.
+	partitioned map[fleet.Zone]bool
 }
 
-// rateInstance is one instance's end of the network.
+// rateInstance is an instance and its end of the network.
 type rateInstance struct {
 	fleet  *rateFleet
 	addr   string
 	zone   fleet.Zone
-	place  int
+	index  int
 	rates  *Rates
 	booted time.Time
-	end    context.CancelFunc
+	cancel context.CancelFunc
 
 	mu      sync.Mutex
 	members map[string]mesh.Member
 	zones   map[fleet.Zone]time.Time
 }
 
-// rateLoss is the part of the datagrams that are lost.
-const rateLoss = 0.1
+// packetLoss is the fraction of datagrams that are lost.
+const packetLoss = 0.1
 
 func (f *rateFleet) chance(p float64) bool {
 	f.mu.Lock()
@@ -90,21 +90,22 @@
 	return v
 }
 
-// send carries a datagram.
+// send delivers a datagram after a delay, or loses it.
 func (in *rateInstance) send(to *rateInstance, p *mesh.Packet) {
 	f := in.fleet
-	if f.chance(rateLoss) || in.zone != to.zone && (f.cut[in.zone] || f.cut[to.zone]) {
+	if f.chance(packetLoss) || in.zone != to.zone && (f.partitioned[in.zone] || f.partitioned[to.zone]) {
 		return
 	}
 	delay := time.Millisecond
 	if in.zone != to.zone {
 		delay = 2 * time.Millisecond
 	}
-	time.AfterFunc(delay, func() { to.hear(p) })
+	time.AfterFunc(delay, func() { to.receive(p) })
 }
 
-// hear takes in a datagram; a bridge passes digests on within its zone.
-func (in *rateInstance) hear(p *mesh.Packet) {
+// receive handles a datagram. A bridge, an instance that exchanges digests with other zones, forwards
+// digests within its zone.
+func (in *rateInstance) receive(p *mesh.Packet) {
 	now := time.Now()
 	in.mu.Lock()
 	if p.Zone == in.zone {
@@ -113,7 +114,7 @@
 		in.zones[p.Zone] = now
 	}
 	in.mu.Unlock()
-	in.rates.take(now, p)
+	in.rates.handlePacket(now, p)
 	if p.Zone == in.zone || p.Relayed || p.Digest == nil {
 		return
 	}
@@ -130,14 +131,14 @@
 	return &mesh.Packet{Addr: in.addr, Zone: in.zone, Boot: in.booted.UnixMilli()}
 }
 
-func (in *rateInstance) bridges() bool { return in.place < 2 }
+func (in *rateInstance) isBridge() bool { return in.index < 2 }
 
 // TellRates implements rateNode.
 func (in *rateInstance) TellRates(rates []mesh.TargetRate, far bool) {
 	p := in.packet()
 	p.Rates = rates
 	for _, o := range in.fleet.instances {
-		if o != in && (o.zone == in.zone || far && o.bridges()) {
+		if o != in && (o.zone == in.zone || far && o.isBridge()) {
 			in.send(o, p)
 		}
 	}
@@ -151,25 +152,25 @@
 }
 
 // GiveToken implements rateNode.
-func (in *rateInstance) GiveToken(asker string, t mesh.TokenResponse) {
+func (in *rateInstance) GiveToken(requester string, t mesh.TokenResponse) {
 	p := in.packet()
 	p.TokenResponses = []mesh.TokenResponse{t}
-	in.send(in.fleet.byAddr[asker], p)
+	in.send(in.fleet.byAddr[requester], p)
 }
 
-// start begins a process that knows nothing.
+// start starts a process without any state.
 func (in *rateInstance) start(ctx context.Context, perSecond float64) {
-	ctx, in.end = context.WithCancel(ctx)
+	ctx, in.cancel = context.WithCancel(ctx)
 	in.mu.Lock()
 	in.members, in.zones = make(map[string]mesh.Member), make(map[fleet.Zone]time.Time)
 	in.mu.Unlock()
 	in.booted = time.Now()
 	in.rates = NewRates(in, in.zone, in.booted, func() *registry.View { return in.fleet.targets }, NewMetrics())
-	go in.beat(ctx)
-	go in.work(ctx, perSecond)
+	go in.sendHeartbeats(ctx)
+	go in.sendRequests(ctx, perSecond)
 }
 
-func (in *rateInstance) beat(ctx context.Context) {
+func (in *rateInstance) sendHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := time.Now()
 		in.rates.tick(now)
@@ -180,11 +181,11 @@
 				in.send(o, p)
 			}
 		}
-		if in.bridges() {
+		if in.isBridge() {
 			q := *p
 			q.Digest = new(mesh.Digest)
 			for _, o := range in.fleet.instances {
-				if o.zone != in.zone && o.bridges() {
+				if o.zone != in.zone && o.isBridge() {
 					in.send(o, &q)
 				}
 			}
@@ -193,8 +194,8 @@
 	}
 }
 
-// work sends requests to random targets, as their rates allow.
-func (in *rateInstance) work(ctx context.Context, perSecond float64) {
+// sendRequests sends requests to random targets as far as their rates allow.
+func (in *rateInstance) sendRequests(ctx context.Context, perSecond float64) {
 	ids := in.fleet.ids()
 	for ctx.Err() == nil {
 		in.fleet.mu.Lock()
@@ -204,7 +205,7 @@
 		id := ids[in.fleet.pick(len(ids))]
 		rates := in.rates
 		if ctx.Err() == nil && !rates.table.Denied(time.Now(), id) && rates.Admit(ctx, id, true) {
-			in.fleet.arrive(rates, id)
+			in.fleet.recordArrival(rates, id)
 		}
 	}
 }
@@ -215,33 +216,33 @@
 	return ids
 }
 
-// arrive lets a request arrive at a target, which answers after a while.
-func (f *rateFleet) arrive(rates *Rates, id fleet.TargetID) {
+// recordArrival records the arrival of a request at a target, which responds after 100 ms.
+func (f *rateFleet) recordArrival(rates *Rates, id fleet.TargetID) {
 	began := time.Now()
 	f.mu.Lock()
 	f.arrivals[id] = append(f.arrivals[id], began)
 	f.mu.Unlock()
 	time.AfterFunc(100*time.Millisecond, func() {
 		f.mu.Lock()
-		rate := f.named[id]
+		rate := f.rates[id]
 		f.mu.Unlock()
 		if rate > 0 {
-			rates.learn(targetrate.Announcement{Target: id, Rate: rate, At: time.Now()})
+			rates.recordNaming(targetrate.Announcement{Target: id, Rate: rate, At: time.Now()})
 		} else if rates.table.Rate(id) > 0 {
-			rates.learn(targetrate.Announcement{Target: id, At: began})
+			rates.recordNaming(targetrate.Announcement{Target: id, At: began})
 		}
 	})
 }
 
-func (f *rateFleet) name(rate targetrate.Rate) {
+func (f *rateFleet) setRate(rate targetrate.Rate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for id := range f.named {
-		f.named[id] = rate
+	for id := range f.rates {
+		f.rates[id] = rate
 	}
 }
 
-// ratedTargets are targets in each zone.
+// ratedTargets returns targets in each of the zones.
 func ratedTargets(zones, each int) *registry.View {
 	r := registry.New()
 	for z := range zones {
@@ -253,7 +254,7 @@
 	return r.View()
 }
 
-// newRateFleet makes a fleet of so many instances, in three zones or, if it is large, in five.
+// newRateFleet returns a fleet of the given size in three zones, or in five if it is large.
 func newRateFleet(seed uint64, size int) *rateFleet {
 	const small = 60
 	zones := 5
@@ -263,14 +264,14 @@
 	perZone := size / zones
 	f := &rateFleet{
 		random: rand.New(rand.NewPCG(seed, 2)), byAddr: make(map[string]*rateInstance), targets: ratedTargets(zones, 2),
-		named: make(map[fleet.TargetID]targetrate.Rate), arrivals: make(map[fleet.TargetID][]time.Time), cut: make(map[fleet.Zone]bool),
+		rates: make(map[fleet.TargetID]targetrate.Rate), arrivals: make(map[fleet.TargetID][]time.Time), partitioned: make(map[fleet.Zone]bool),
 	}
 	for _, id := range f.ids() {
-		f.named[id] = 0
+		f.rates[id] = 0
 	}
 	for z := range zones {
 		for n := range perZone {
-			in := &rateInstance{fleet: f, addr: fmt.Sprintf("10.%d.%d.%d:1", z, n/200, n%200+1), zone: fleet.Zone(fmt.Sprint("z", z)), place: n}
+			in := &rateInstance{fleet: f, addr: fmt.Sprintf("10.%d.%d.%d:1", z, n/200, n%200+1), zone: fleet.Zone(fmt.Sprint("z", z)), index: n}
 			f.instances = append(f.instances, in)
 			f.byAddr[in.addr] = in
 		}
@@ -278,81 +279,83 @@
 	return f
 }
 
-// TestRatesAreKeptByAllTogether: whoever holds a rate starts again, datagrams are lost and zones are cut from each other;
-// all instances together send a target no more than a tenth above its rate, and two requests, in any 4 s from one second
-// after it first named it, and use eight tenths of it while nothing disturbs them.
-func TestRatesAreKeptByAllTogether(t *testing.T) {
+// TestRatesAreEnforcedFleetWide checks the rates while holders restart, datagrams are lost and zones
+// are partitioned. In any 4 s from one second after the first naming, all instances together send a
+// target at most 1.1 times its rate plus two requests. Without faults they use at least 0.8 of the
+// rates.
+func TestRatesAreEnforcedFleetWide(t *testing.T) {
 	const window = 4 * time.Second
-	const largest = 36 // with the highest rates, for the time that these take
+	const small = 36 // instances; larger fleets take too long with the highest rates
 	for n := range *rateSeeds {
-		seed := *rateFirst + uint64(n)
+		seed := *rateFirstSeed + uint64(n)
 		t.Run(fmt.Sprintf("%d instances, seed %d", *rateSize, seed), func(t *testing.T) {
 			f := newRateFleet(seed, *rateSize)
 			named := []targetrate.Rate{0.3, 1, 2.5, 10, 60, 300}
-			if *rateSize > largest {
+			if *rateSize > small {
 				named = named[:4]
 			}
 			rate := named[f.pick(len(named))]
-			calm := f.chance(0.3)
-			perSecond := 3 * float64(rate) * float64(len(f.named)) / float64(len(f.instances))
+			faultless := f.chance(0.3)
+			perSecond := 3 * float64(rate) * float64(len(f.rates)) / float64(len(f.instances))
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				defer time.Sleep(time.Hour) // until all that runs has ended
+				defer time.Sleep(time.Hour) // until all goroutines have ended
 				defer cancel()
 				for _, in := range f.instances {
 					in.start(ctx, perSecond)
 				}
 				time.Sleep(5 * time.Second)
-				f.name(rate)
+				f.setRate(rate)
 				namedAt := make(map[fleet.TargetID]time.Time)
 				for began := time.Now(); time.Since(began) < 40*time.Second; {
 					time.Sleep(100 * time.Millisecond)
-					for id := range f.named {
+					for id := range f.rates {
 						for _, in := range f.instances {
 							if _, ok := namedAt[id]; !ok && in.rates.table.Rate(id) > 0 {
 								namedAt[id] = time.Now()
 							}
 						}
 					}
-					if !calm && f.chance(0.05) {
-						f.disturb(ctx, perSecond)
+					if !faultless && f.chance(0.05) {
+						f.injectFault(ctx, perSecond)
 					}
 				}
-				over := time.Now()
+				end := time.Now()
 				f.mu.Lock()
 				defer f.mu.Unlock()
-				used, due := 0, 0.0
+				used, allowed := 0, 0.0
 				for id, arrivals := range f.arrivals {
 					from, ok := namedAt[id]
 					if !ok {
 						continue
 					}
 					from = from.Add(time.Second)
-					most, all := mostArrivals(arrivals, from, over, window)
-					assert.Assert(t, float64(most) <= 1.1*float64(rate)*window.Seconds()+2, "calm %t: %s names %v and got %d in %v", calm, id, rate, most, window)
+					most, all := maxArrivals(arrivals, from, end, window)
+					assert.Assert(t, float64(most) <= 1.1*float64(rate)*window.Seconds()+2, "without faults %t: target %s names rate %v and got %d requests in %v", faultless, id, rate, most, window)
 					used += all
-					due += float64(rate) * over.Sub(from).Seconds()
+					allowed += float64(rate) * end.Sub(from).Seconds()
 				}
-				assert.Assert(t, !calm || float64(used) >= 0.8*due, "targets name %v and got %d of %v", rate, used, due)
+				assert.Assert(t, !faultless || float64(used) >= 0.8*allowed, "targets name rate %v and got %d of %v requests", rate, used, allowed)
 			})
 		})
 	}
 }
 
-// disturb starts an instance again, or cuts a zone from the others or heals it.
-func (f *rateFleet) disturb(ctx context.Context, perSecond float64) {
+// injectFault restarts an instance, or partitions a zone or reconnects it.
+func (f *rateFleet) injectFault(ctx context.Context, perSecond float64) {
 	if f.chance(0.3) {
 		z := f.instances[f.pick(len(f.instances))].zone
-		f.cut[z] = !f.cut[z]
+		f.partitioned[z] = !f.partitioned[z]
 		return
 	}
 	in := f.instances[f.pick(len(f.instances))]
-	in.end()
+	in.cancel()
 	in.start(ctx, perSecond)
 }
 
-// mostArrivals is the most within any span of the given length, and how many there were at all.
-func mostArrivals(arrivals []time.Time, from, until time.Time, length time.Duration) (most, all int) {
+// maxArrivals returns the largest number of arrivals within any span of the given length, and their
+// total number.
+func maxArrivals(arrivals []time.Time, from, until time.Time, length time.Duration) (most, all int) {
 	var within []time.Time
 	first := 0
 	for _, a := range arrivals {
@@ -368,8 +371,9 @@
 	return most, len(within)
 }
 
-// answerOf is an attempt's end with the given fields of the answer.
-func answerOf(kind exchange.Kind, status int, sealed bool, rates ...string) attemptResult {
+// endedAttempt returns the end of an attempt with a response of the given kind, status and rate
+// headers.
+func endedAttempt(kind exchange.Kind, status int, sealed bool, rates ...string) attemptResult {
 	h := http.Header{}
 	for _, r := range rates {
 		h.Add("Rate", r)
@@ -378,33 +382,33 @@
 		result: exchange.Result{Kind: kind, Answer: &exchange.Answer{Status: status, Header: h, Sealed: sealed}}}
 }
 
-// TestWhatMaySetARate: the target's own word, on answers and refusals, and nothing that is not vouched for; what is
-// no rate changes nothing, and only a sealed answer without one ends a rate.
-func TestWhatMaySetARate(t *testing.T) {
+// TestWhichResponsesSetRates checks that only sealed responses and refusals set a rate, that invalid
+// rates change nothing, and that only a sealed response without a rate ends one.
+func TestWhichResponsesSetRates(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		e    attemptResult
 		want targetrate.Rate
 	}{
-		{"sealed", answerOf(exchange.Answered, 200, true, "3"), 3},
-		{"a failure", answerOf(exchange.Answered, 500, true, "3"), 3},
-		{"a refusal", answerOf(exchange.Refused, 503, false, "3"), 3},
-		{"no seal", answerOf(exchange.Answered, 200, false, "3"), 7},
-		{"nonsense", answerOf(exchange.Answered, 200, true, "NaN"), 7},
-		{"two fields", answerOf(exchange.Answered, 200, true, "3", "4"), 7},
-		{"zero", answerOf(exchange.Answered, 200, true, "0"), 7},
-		{"none", answerOf(exchange.Answered, 200, true), 0},
-		{"none, a refusal", answerOf(exchange.Refused, 503, false), 7},
-		{"none, no seal", answerOf(exchange.Answered, 500, false), 7},
+		{"sealed", endedAttempt(exchange.Answered, 200, true, "3"), 3},
+		{"server error", endedAttempt(exchange.Answered, 500, true, "3"), 3},
+		{"refusal", endedAttempt(exchange.Refused, 503, false, "3"), 3},
+		{"no seal", endedAttempt(exchange.Answered, 200, false, "3"), 7},
+		{"not a number", endedAttempt(exchange.Answered, 200, true, "NaN"), 7},
+		{"two fields", endedAttempt(exchange.Answered, 200, true, "3", "4"), 7},
+		{"zero", endedAttempt(exchange.Answered, 200, true, "0"), 7},
+		{"none", endedAttempt(exchange.Answered, 200, true), 0},
+		{"none, refusal", endedAttempt(exchange.Refused, 503, false), 7},
+		{"none, no seal", endedAttempt(exchange.Answered, 500, false), 7},
 	} {
 		f := newRateFleet(1, 3)
 		f.instances = f.instances[:1]
 		in := f.instances[0]
 		in.members = make(map[string]mesh.Member)
 		in.rates = NewRates(in, in.zone, time.Now(), func() *registry.View { return f.targets }, NewMetrics())
-		in.rates.learn(targetrate.Announcement{Target: "t-0-0", Rate: 7, At: time.Now().Add(-time.Second)})
+		in.rates.recordNaming(targetrate.Announcement{Target: "t-0-0", Rate: 7, At: time.Now().Add(-time.Second)})
 		call := &call{h: &Handler{Rates: in.rates, Metrics: NewMetrics(), Client: &exchange.Client{Headers: exchange.Headers{Rate: "Rate"}}}}
-		call.learnRate(c.e, time.Now())
+		call.recordRate(c.e, time.Now())
 		assert.Equal(t, in.rates.table.Rate("t-0-0"), c.want, c.name)
 	}
 }
--- a/gateway/ways_test.go
+++ b/gateway/ways_test.go
@@ -25,11 +25,11 @@
 }
 
 var suppressions = []suppression{
-	{"announces leaving in a response", func(g *Gateway, id fleet.TargetID) { g.depart(registry.Departure{ID: id}) }},
-	{"sent Retry-After", func(g *Gateway, id fleet.TargetID) { g.knowledge.TurnedAway(time.Now(), "s", id, time.Minute) }},
+	{"announces leaving in a response", func(g *Gateway, id fleet.TargetID) { g.markLeaving(registry.Departure{ID: id}) }},
+	{"sent Retry-After", func(g *Gateway, id fleet.TargetID) { g.knowledge.RecordBackoff(time.Now(), "s", id, time.Minute) }},
 	{"announced a rate without a holder", func(g *Gateway, id fleet.TargetID) {
 		g.rates.Leave()
-		g.rates.learn(targetrate.Announcement{Target: id, Rate: 1, At: time.Now()})
+		g.rates.recordNaming(targetrate.Announcement{Target: id, Rate: 1, At: time.Now()})
 	}},
 }
 
