--- a/gateway/advice.go
+++ b/gateway/advice.go
@@ -65,7 +65,7 @@
 func (g *Gateway) backOff(t exchange.Target, duration time.Duration) {
 	targets := g.state.Targets()
 	rt := targets.Target(t.ID)
-	if rt == nil || at(rt) != t || !g.knowledge.RecordBackoff(time.Now(), rt.Service, t.ID, duration) {
+	if rt == nil || exchangeTarget(rt) != t || !g.knowledge.RecordBackoff(time.Now(), rt.Service, t.ID, duration) {
 		return
 	}
 	uses := func(addr string) bool { return g.knowledge.PrefersTarget(addr, rt, targets.Services[rt.Service]) }
@@ -85,7 +85,7 @@
 
 // markLeaving takes a target out of use that announced to this instance that it leaves, before its
 // response is passed to the caller, and announces the departure.
-func (g *Gateway) markLeaving(d registry.Departure) { g.applyDeparture(d, fromSelf) }
+func (g *Gateway) markLeaving(d registry.Departure) { g.applyDeparture(d, sourceSelf) }
 
 // applyDeparture applies and announces that a target leaves, or that its departure was lifted. It
 // returns false if nothing changed.
@@ -121,5 +121,5 @@
 // restarted, moved or rejected another request.
 func (g *Gateway) admits(t exchange.Target) bool {
 	rt := g.state.Targets().Target(t.ID)
-	return rt != nil && at(rt) == t && !g.knowledge.InBackoff(time.Now(), t.ID)
+	return rt != nil && exchangeTarget(rt) == t && !g.knowledge.InBackoff(time.Now(), t.ID)
 }
--- a/gateway/advice_test.go
+++ b/gateway/advice_test.go
@@ -134,7 +134,7 @@
 	_, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, backends...)
 	waitReady(t, g)
 	for i, c := range cases {
-		target := at(g.state.Targets().Target(fleet.TargetID(fmt.Sprint("t", i))))
+		target := exchangeTarget(g.state.Targets().Target(fleet.TargetID(fmt.Sprint("t", i))))
 		earlier := target
 		earlier.Born--
 		h := exchange.Head{Status: c.status, Header: http.Header{header.RetryAfter: c.fields}}
@@ -145,7 +145,7 @@
 		assert.Equal(t, g.knowledge.InBackoff(now, target.ID), c.want, c.name)
 		assert.Equal(t, g.admits(target), !c.want, c.name)
 		assert.Assert(t, !g.knowledge.InBackoff(now.Add(maxBackoff+maxBackoffJitter), target.ID), c.name)
-		g.knowledge.Restarted(now, []fleet.TargetID{target.ID})
+		g.knowledge.ResetRestarted(now, []fleet.TargetID{target.ID})
 		assert.Assert(t, !g.knowledge.InBackoff(now, target.ID), c.name)
 	}
 }
@@ -195,7 +195,7 @@
 	_, g, _ := launchGateway(t, 200*time.Millisecond, &fakeStore{document: testDocument()}, newBackend(t, respondWith(http.StatusOK)), newBackend(t, respondWith(http.StatusOK)))
 	waitReady(t, g)
 	admin := "http://" + g.settings.ReadyListen
-	first, second := at(g.state.Targets().Target("t0")), at(g.state.Targets().Target("t1"))
+	first, second := exchangeTarget(g.state.Targets().Target("t0")), exchangeTarget(g.state.Targets().Target("t1"))
 	leaving := exchange.Head{Status: http.StatusOK, Named: true, Header: http.Header{headerNames.Leaving: {"1"}}}
 	turnsAway := exchange.Head{Status: http.StatusServiceUnavailable, Header: http.Header{header.RetryAfter: {"9"}}}
 	g.handleResponseHeader(first, "r", leaving)
--- a/gateway/advicereport.go
+++ b/gateway/advicereport.go
@@ -60,7 +60,7 @@
 	for _, d := range g.state.Departures() {
 		if d.ID == id {
 			d.Lifted, d.AgeMillis = true, 0
-			lifted = g.applyDeparture(d, fromOperator) || lifted
+			lifted = g.applyDeparture(d, sourceOperator) || lifted
 		}
 	}
 	if g.rates.table.Rate(id) > 0 {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -82,13 +82,13 @@
 
 // pendingAttempt is an attempt that has not ended yet.
 type pendingAttempt struct {
-	placed    Placed
+	placed    Placement
 	startedAt time.Time
 }
 
 // attemptResult is the result of one attempt.
 type attemptResult struct {
-	placed Placed
+	placed Placement
 	result exchange.Result
 }
 
@@ -117,13 +117,13 @@
 		defer cancel()
 		for range running {
 			e := <-r.results
-			r.c.learn(e)
+			r.c.recordResult(e)
 		}
 	}()
 }
 
 func (r *attemptGroup) run() outcome {
-	durations := r.c.h.Knowledge.Durations(r.c.service)
+	durations := r.c.h.Knowledge.LatencyBounds(r.c.service)
 	hedge := time.NewTimer(durations.hedgeDelay(r.c.route.Objective))
 	defer hedge.Stop()
 	end := time.NewTimer(time.Until(r.c.deadline))
@@ -133,7 +133,7 @@
 		case e := <-r.results:
 			r.running--
 			r.pending = slices.DeleteFunc(r.pending, func(o pendingAttempt) bool { return o.placed.ID == e.placed.ID })
-			r.c.learn(e)
+			r.c.recordResult(e)
 			if o, done := r.handleResult(e); done {
 				return o
 			}
@@ -149,7 +149,7 @@
 
 // hedgeDelay returns the age of an attempt at which a hedge is started: early enough for
 // the hedge to end within the objective, but not before most attempts have ended.
-func (b bounds) hedgeDelay(objective time.Duration) time.Duration {
+func (b latencyBounds) hedgeDelay(objective time.Duration) time.Duration {
 	const spare = 1.3 // time reserved for the hedge, in medians
 	if objective <= 0 {
 		return b.slow
@@ -160,7 +160,7 @@
 func (r *attemptGroup) timeOut() outcome {
 	for _, o := range r.pending {
 		eventlog.Info(eventlog.AttemptOpen, "request", r.c.id, "route", r.c.route.Name, "service", r.c.service, "target", o.placed.ID,
-			"addr", o.placed.Addr, "age_ms", time.Since(o.startedAt).Milliseconds(), "fails", eventlog.Share(o.placed.Fails), "in_flight", o.placed.InFlight, "slots", o.placed.Slots, "class", r.c.route.Class)
+			"addr", o.placed.Addr, "age_ms", time.Since(o.startedAt).Milliseconds(), "fails", eventlog.Share(o.placed.FailProbability), "in_flight", o.placed.InFlight, "slots", o.placed.Slots, "class", r.c.route.Class)
 	}
 	if r.fallback.response != nil {
 		return r.fallback
@@ -248,7 +248,7 @@
 		reason = "no time left"
 	case r.sent > 0 && r.c.standing() >= quarantine.Restricted:
 		reason = "its content may crash targets"
-	case !notRun && r.c.atFault():
+	case !notRun && r.c.requestAtFault():
 		reason = "it fails at each target"
 	case e.result.Kind.MayHaveArrived() && !r.spendBudget("again"):
 		return false
@@ -274,7 +274,7 @@
 		return
 	}
 	r.hedged = true
-	if r.c.standing() >= quarantine.Suspected || r.c.atFault() {
+	if r.c.standing() >= quarantine.Suspected || r.c.requestAtFault() {
 		return
 	}
 	if r.spendBudget("hedge") {
@@ -338,7 +338,7 @@
 }
 
 // place chooses a target whose rate limit, if it has announced one, allows the request.
-func (r *attemptGroup) place(now time.Time, targets []*registry.Target, w placement.Work) (Placed, bool) {
+func (r *attemptGroup) place(now time.Time, targets []*registry.Target, w placement.Work) (Placement, bool) {
 	c := r.c
 	withheld := c.h.Rates.denied(now, targets)
 	for time.Since(now) <= placementTimeout {
@@ -353,7 +353,7 @@
 		withheld = append(withheld, p.ID)
 	}
 	r.explainNoTarget(now, targets, len(withheld))
-	return Placed{}, false
+	return Placement{}, false
 }
 
 // explainNoTarget sets the reason and the Retry-After of the fallback if no target takes
@@ -376,23 +376,23 @@
 
 // sendLoad sends this instance's number of requests in flight at the target to the instances
 // that may also choose the target.
-func (c *call) sendLoad(p Placed) {
+func (c *call) sendLoad(p Placement) {
 	k := c.h.Knowledge
-	c.h.SendLoad(k.InFlight(p.ID), func(addr string) bool { return k.Concerns(addr, &p) })
+	c.h.SendLoad(k.InFlight(p.ID), func(addr string) bool { return k.ShouldNotify(addr, &p) })
 }
 
 // send sends the request to one target and delivers the result to r.results.
-func (r *attemptGroup) send(p Placed) {
+func (r *attemptGroup) send(p Placement) {
 	c := r.c
-	slow := time.Duration(float64(c.h.Knowledge.Durations(c.service).slow) * p.turns())
+	slow := time.Duration(float64(c.h.Knowledge.LatencyBounds(c.service).slow) * p.queueRounds())
 	start := time.Now()
 	slowTimer := time.AfterFunc(slow, func() { c.observeSlow(p, start) })
-	res := c.h.Client.Do(r.ctx, at(p.Target), c.request, c.targetDeadline, c.deadline, p.MaxIdle)
+	res := c.h.Client.Do(r.ctx, exchangeTarget(p.Target), c.request, c.targetDeadline, c.deadline, p.MaxIdle)
 	slowTimer.Stop()
 	if res.Kind == exchange.Withheld {
 		c.h.Knowledge.Withdraw(p)
 	} else {
-		c.h.Knowledge.Ended(p)
+		c.h.Knowledge.Done(p)
 	}
 	r.results <- attemptResult{p, res}
 }
@@ -406,7 +406,7 @@
 	pairs := []any{"request", r.c.id, "route", r.c.route.Name, "class", r.c.route.Class, "service", r.c.service,
 		"target", e.placed.ID, "addr", e.placed.Addr, "zone", e.placed.Zone, "kind", e.result.Kind, "status", status, "err", e.result.Err,
 		"took_ms", e.result.Took.Milliseconds(), "reused", e.result.Reused, "idle_ms", e.result.IdleFor.Milliseconds(),
-		"fails", eventlog.Share(e.placed.Fails), "cost", eventlog.Share(e.placed.Cost), "in_flight", e.placed.InFlight, "slots", e.placed.Slots, "for_floor", e.placed.ForFloor, "attempt", len(r.tried), "outcome", string(o.kind), "document", r.c.version}
+		"fails", eventlog.Share(e.placed.FailProbability), "cost", eventlog.Share(e.placed.Cost), "in_flight", e.placed.InFlight, "slots", e.placed.Slots, "for_floor", e.placed.ForFloor, "attempt", len(r.tried), "outcome", string(o.kind), "document", r.c.version}
 	if e.result.Kind == exchange.Broken {
 		pairs = append(pairs, "content", r.c.content.Fingerprint(), "caller", r.c.caller())
 	}
--- a/gateway/attempt_test.go
+++ b/gateway/attempt_test.go
@@ -24,7 +24,7 @@
 		exchange.Overdue: outcomeTimedOut, exchange.Broken: outcomeUnknown, exchange.Unsent: outcomeNotRun,
 	} {
 		r := &attemptGroup{c: c, fallback: outcome{kind: outcomeNotRun}}
-		e := attemptResult{placed: Placed{Target: &registry.Target{}}, result: exchange.Result{Kind: kind}}
+		e := attemptResult{placed: Placement{Target: &registry.Target{}}, result: exchange.Result{Kind: kind}}
 		r.updateFallback(r.classify(e))
 		assert.Equal(t, r.fallback.kind, want, kind)
 	}
--- a/gateway/backoff.go
+++ b/gateway/backoff.go
@@ -122,5 +122,5 @@
 // PrefersTarget reports whether an instance of the zone, given by its address, mostly uses one of a
 // service's targets and so needs reports on it.
 func (k *Knowledge) PrefersTarget(addr string, t *registry.Target, ts []*registry.Target) bool {
-	return k.chooser.Considers(fleet.InstanceID(addr), t.ID, inZone(ts, t.Zone))
+	return k.chooser.Considers(fleet.InstanceID(addr), t.ID, countInZone(ts, t.Zone))
 }
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -46,7 +46,7 @@
 
 // backoffRun simulates a zone in which some targets reject requests with Retry-After.
 type backoffRun struct {
-	*zoneRun
+	*zoneSim
 	retryAfters map[fleet.TargetID]time.Duration
 	// rejectShare is the fraction of requests that these targets reject.
 	rejectShare float64
@@ -59,14 +59,14 @@
 
 // newBackoffRun returns a zone in which the given fraction of the targets rejects requests.
 func newBackoffRun(seed uint64, instances, targets int, share float64) *backoffRun {
-	z := &backoffRun{zoneRun: newZoneRun(seed, instances, targets, 0), retryAfters: make(map[fleet.TargetID]time.Duration), rejectShare: 1}
+	z := &backoffRun{zoneSim: newZoneSim(seed, instances, targets, 0), retryAfters: make(map[fleet.TargetID]time.Duration), rejectShare: 1}
 	var members []mesh.Member
 	for _, in := range z.instances {
 		members = append(members, mesh.Member{Addr: in.addr})
 	}
 	for _, in := range z.instances {
-		in.k = NewKnowledge(in.k.chooser, pooled.Config{Ratio: 0.2, Slack: 1.6 * float64(instances), Window: 10 * time.Second}, start.Add(-time.Hour))
-		in.k.Count(start, viewOf(members...))
+		in.knowledge = NewKnowledge(in.knowledge.chooser, pooled.Config{Ratio: 0.2, Slack: 1.6 * float64(instances), Window: 10 * time.Second}, start.Add(-time.Hour))
+		in.knowledge.UpdateInstanceCount(start, viewOf(members...))
 	}
 	for i, t := range z.targets {
 		if float64(i) < share*float64(targets) {
@@ -87,7 +87,7 @@
 // request sends an idempotent request through a random instance.
 func (z *backoffRun) request(now time.Time) {
 	in := z.instances[z.rng.IntN(len(z.instances))]
-	in.k.RecordRequest(now, "s", true)
+	in.knowledge.RecordRequest(now, "s", true)
 	if now.After(start.Add(rejectStart)) {
 		z.requests++
 	}
@@ -97,11 +97,11 @@
 // attempt tries a target. After a rejection another one is tried if the retry budget allows.
 func (z *backoffRun) attempt(in *zoneInstance, requestedAt, now time.Time, tried []fleet.TargetID) {
 	w := placement.Work{Objective: objective, KB: 1, Retryable: true}
-	p, ok := in.k.Place(now, "s", z.targets, tried, nil, w, func(exchange.Target, time.Duration) bool { return true })
+	p, ok := in.knowledge.Place(now, "s", z.targets, tried, nil, w, func(exchange.Target, time.Duration) bool { return true })
 	if !ok {
 		return
 	}
-	z.tellLoad(in, now, &p)
+	z.sendLoad(in, now, &p)
 	after := z.retryAfter(now, p.ID)
 	a := arrival{instance: in.addr, target: p.ID, at: now}
 	if after > 0 {
@@ -109,19 +109,19 @@
 	}
 	z.arrivals = append(z.arrivals, a)
 	if after == 0 {
-		z.at(now.Add(time.Duration((0.7+0.6*z.rng.Float64())*float64(workTakes))), func(now time.Time) {
-			z.learn(in, now, a.at, &p, suspicion.Success)
+		z.schedule(now.Add(time.Duration((0.7+0.6*z.rng.Float64())*float64(meanServiceTime))), func(now time.Time) {
+			z.recordResult(in, now, a.at, &p, suspicion.Success)
 			if requestedAt.After(start.Add(rejectStart)) {
 				z.served++
 			}
 		})
 		return
 	}
-	z.at(now.Add(rejectLatency), func(now time.Time) {
-		in.k.Ended(p)
-		if !z.omitRetryAfter && in.k.RecordBackoff(now, "s", p.ID, after) {
+	z.schedule(now.Add(rejectLatency), func(now time.Time) {
+		in.knowledge.Done(p)
+		if !z.omitRetryAfter && in.knowledge.RecordBackoff(now, "s", p.ID, after) {
 			packet := &mesh.Packet{Backoffs: []mesh.TargetBackoff{{Target: p.ID, RemainingMillis: after.Milliseconds()}}}
-			z.tell(in, now, packet, func(addr string) bool { return in.k.PrefersTarget(addr, p.Target, z.targets) })
+			z.send(in, now, packet, func(addr string) bool { return in.knowledge.PrefersTarget(addr, p.Target, z.targets) })
 		}
 		z.retry(in, requestedAt, now, append(slices.Clone(tried), p.ID))
 	})
@@ -129,19 +129,19 @@
 
 // retry tries another target if the retry budget, or a loan from peers, allows.
 func (z *backoffRun) retry(in *zoneInstance, requestedAt, now time.Time, tried []fleet.TargetID) {
-	if _, ok := in.k.SpendBudget(now, "s", true); ok {
+	if _, ok := in.knowledge.SpendBudget(now, "s", true); ok {
 		z.attempt(in, requestedAt, now, tried)
 		return
 	}
-	asks := in.k.LoanRequests(now, "s")
+	asks := in.knowledge.LoanRequests(now, "s")
 	for _, i := range z.rng.Perm(len(z.instances))[:loanPeers] {
 		if other := z.instances[i]; other != in && asks != nil {
-			loans := other.k.Lend(now, in.addr, asks)
-			in.k.Take(now, &mesh.Packet{Addr: other.addr, Zone: "a", Boot: other.boot, Loans: loans})
+			loans := other.knowledge.Lend(now, in.addr, asks)
+			in.knowledge.HandlePacket(now, &mesh.Packet{Addr: other.addr, Zone: "a", Boot: other.boot, Loans: loans})
 		}
 	}
-	z.at(now.Add(loanTimeout), func(now time.Time) {
-		if _, ok := in.k.SpendBudget(now, "s", true); ok {
+	z.schedule(now.Add(loanTimeout), func(now time.Time) {
+		if _, ok := in.knowledge.SpendBudget(now, "s", true); ok {
 			z.attempt(in, requestedAt, now, tried)
 		}
 	})
@@ -150,9 +150,9 @@
 // run simulates traffic until 4 s after the last target accepts requests again.
 func (z *backoffRun) run() {
 	const until = rejectStart + rejectDuration + 4*time.Second
-	rate := slotUtilization * float64(len(z.targets)*z.targets[0].Slots) / workTakes.Seconds()
+	rate := slotUtilization * float64(len(z.targets)*z.targets[0].Slots) / meanServiceTime.Seconds()
 	for at := 0.0; at < until.Seconds(); at += z.rng.ExpFloat64() / rate {
-		z.at(start.Add(time.Duration(at*float64(time.Second))), z.request)
+		z.schedule(start.Add(time.Duration(at*float64(time.Second))), z.request)
 	}
 	z.queue.Run(until + 2*time.Second)
 }
--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -42,10 +42,10 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s := k.service(name)
-	if now.Sub(s.askedAt) < loanRequestInterval {
+	if now.Sub(s.loansRequestedAt) < loanRequestInterval {
 		return nil
 	}
-	s.askedAt = now
+	s.loansRequestedAt = now
 	s.budget.LoanRequested(now)
 	return []mesh.Loan{{Service: name, Permille: permille}}
 }
--- a/gateway/census.go
+++ b/gateway/census.go
@@ -8,105 +8,107 @@
 )
 
 const (
-	// countedAfter is how long a process takes no part of the slack: it knows only some of
-	// those that share it.
-	countedAfter = 2 * time.Second
-	// settledAfter is for how long no instance may have been found before a process relies on
-	// its own count: who has met a seed is told the names of all others within some heartbeats.
-	settledAfter = time.Second
-	// unmetFor is how long a process that hears none of its seeds, no other zone and nobody who
-	// is sure of a number takes no part of the slack. After that its seeds are taken to be
-	// gone for good, and those that it found by the store's addresses to be all.
-	unmetFor = 30 * time.Second
-	// mostWindow is half of the time for which a number of instances is remembered.
-	mostWindow = 15 * time.Second
-	// censusLogEvery is the least time between lines on the number: while a fleet starts it
-	// changes at each tick.
-	censusLogEvery = time.Second
+	// countStartDelay is how long after its start a process takes no share of the slack, since it
+	// has found only some of the instances.
+	countStartDelay = 2 * time.Second
+	// settleTime is how long no new instance must have been found before a process relies on its
+	// own count. A process that has met a seed receives all names within a few heartbeats.
+	settleTime = time.Second
+	// isolationTimeout is how long a process takes no share of the slack if it hears from no
+	// seed, no other zone and no instance with a confirmed count. After that its seeds are
+	// considered lost and the instances found through the store complete.
+	isolationTimeout = 30 * time.Second
+	// recentMaxWindow is half of the longest time for which a count is kept.
+	recentMaxWindow = 15 * time.Second
+	// countLogInterval is the minimum time between log lines of the count, which changes at each
+	// tick while a fleet starts.
+	countLogInterval = time.Second
 )
 
-// census is how many instances share the slack of the retry budgets, as one of them knows.
+// instanceCount counts the instances that share the slack of the retry budgets.
 //
-// A number that is too low makes the fleet spend more than its bound: a process that knows
-// one in fifty would take fifty parts. So a process takes none until it has reason to
-// know all: someone who is sure told it, or it has met the fleet and finds nobody new. What that
-// costs is the slack of a few seconds after a start.
-type census struct {
+// If the count is too low, the fleet exceeds its budget: a process that has found one instance in
+// fifty would take fifty shares. So a process takes none until it has a reliable count: an
+// instance with a confirmed count reported it, or the process has met the fleet and finds no new
+// instances. This costs the slack of the first few seconds after a start.
+type instanceCount struct {
 	booted time.Time
-	most   pastMost
-	// found is the most that were counted so far, and grewAt when that last rose.
-	found  int
-	grewAt time.Time
-	// settled tells that it met the fleet and, at some moment, found nobody new for a while.
+	recent recentMax
+	// maxFound is the highest count so far, and lastGrowth is when it last rose.
+	maxFound   int
+	lastGrowth time.Time
+	// settled reports whether the process has met the fleet and then found no new instance for
+	// settleTime.
 	settled bool
-	told    int
-	// logged is the number that was last logged, and loggedAt when.
-	logged   int
-	loggedAt time.Time
+	// reported is the highest confirmed count of a peer; 0 if there is none.
+	reported int
+	// lastLogged is the count logged last, at lastLoggedAt.
+	lastLogged   int
+	lastLoggedAt time.Time
 }
 
-// Count takes in how many instances there are.
-func (k *Knowledge) Count(now time.Time, v mesh.View) {
+// UpdateInstanceCount updates the instance count from the view.
+func (k *Knowledge) UpdateInstanceCount(now time.Time, v mesh.View) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.census.note(now, v)
+	k.instanceCount.update(now, v)
 }
 
-// instances is how many share the slack; 0 if that is not known.
-func (k *Knowledge) instances(now time.Time) int { return k.census.instances(now) }
+// instances returns the number of instances that share the slack; 0 if unknown.
+func (k *Knowledge) instances(now time.Time) int { return k.instanceCount.instances(now) }
 
-func (c *census) note(now time.Time, v mesh.View) {
+func (c *instanceCount) update(now time.Time, v mesh.View) {
 	n := v.Instances()
-	if n > c.found {
-		c.found, c.grewAt = n, now
+	if n > c.maxFound {
+		c.maxFound, c.lastGrowth = n, now
 	}
-	c.told = v.MaxReportedInstances
-	c.settled = c.settled || (v.Joined && now.Sub(c.grewAt) >= settledAfter)
-	c.most.note(now, n)
+	c.reported = v.MaxReportedInstances
+	c.settled = c.settled || (v.Joined && now.Sub(c.lastGrowth) >= settleTime)
+	c.recent.record(now, n)
 	c.log(now, v)
 }
 
-// instances is how many share the slack; 0 if that is not known.
-func (c *census) instances(now time.Time) int {
-	if now.Sub(c.booted) < countedAfter {
+// instances returns the number of instances that share the slack; 0 if unknown.
+func (c *instanceCount) instances(now time.Time) int {
+	if now.Sub(c.booted) < countStartDelay {
 		return 0
 	}
-	return max(c.own(now), c.told)
+	return max(c.ownCount(now), c.reported)
 }
 
-// own is how many there are by what this instance heard itself; 0 if it may know only some.
-// This alone is told to others: a number that went round would outlive the instances.
-func (c *census) own(now time.Time) int {
-	if !c.settled && now.Sub(c.booted) < unmetFor {
+// ownCount returns the count from this instance's own view; 0 if it may be incomplete. Only this
+// count is sent to others: a count passed on from peer to peer would outlive the instances.
+func (c *instanceCount) ownCount(now time.Time) int {
+	if !c.settled && now.Sub(c.booted) < isolationTimeout {
 		return 0
 	}
-	return c.most.number()
+	return c.recent.value()
 }
 
-// log tells the number by which the slack is divided, and what it rests on.
-func (c *census) log(now time.Time, v mesh.View) {
+// log writes the instance count and its sources.
+func (c *instanceCount) log(now time.Time, v mesh.View) {
 	n := c.instances(now)
-	if n == c.logged || now.Sub(c.loggedAt) < censusLogEvery {
+	if n == c.lastLogged || now.Sub(c.lastLoggedAt) < countLogInterval {
 		return
 	}
-	eventlog.Info(eventlog.InstancesCounted, "instances", n, "before", c.logged, "heard", len(v.Members), "named", v.PeerCount,
+	eventlog.Info(eventlog.InstancesCounted, "instances", n, "before", c.lastLogged, "heard", len(v.Members), "named", v.PeerCount,
 		"zones", len(v.Zones), "met", v.Joined, "told", v.MaxReportedInstances, "age_ms", now.Sub(c.booted).Milliseconds())
-	c.logged, c.loggedAt = n, now
+	c.lastLogged, c.lastLoggedAt = n, now
 }
 
-// pastMost remembers the largest number of instances of the last while: those
-// that are silent may still be spending.
-type pastMost struct {
-	now, before int
-	since       time.Time
+// recentMax holds the highest recent instance count. Instances that fell silent may still spend
+// budget.
+type recentMax struct {
+	current, previous int
+	windowStart       time.Time
 }
 
-func (m *pastMost) note(now time.Time, n int) {
-	if now.Sub(m.since) > mostWindow {
-		m.before, m.now, m.since = m.now, 0, now
+func (m *recentMax) record(now time.Time, n int) {
+	if now.Sub(m.windowStart) > recentMaxWindow {
+		m.previous, m.current, m.windowStart = m.current, 0, now
 	}
-	m.now = max(m.now, n)
+	m.current = max(m.current, n)
 }
 
-// number is the largest number; 0 if none was noted.
-func (m *pastMost) number() int { return max(m.now, m.before) }
+// value returns the highest recent count; 0 if none was recorded.
+func (m *recentMax) value() int { return max(m.current, m.previous) }
--- a/gateway/choice.go
+++ b/gateway/choice.go
@@ -13,64 +13,67 @@
 )
 
 const (
-	// joinedFor is for how long after its start-up a target that nobody used is sought
-	// out.
-	joinedFor = 8 * time.Second
-	// floorAfter is how long after its start a process only learns before it tries targets
-	// for the floor: by then each other instance of its zone has sent a heartbeat, with
-	// what it has in flight, even where these are 1.4 s apart.
-	floorAfter = 2 * time.Second
+	// joinPreferencePeriod is how long after a target's warm-up ends an unused target is
+	// preferred as newly joined.
+	joinPreferencePeriod = 8 * time.Second
+	// floorStartDelay is how long after its start a process waits before it places requests for
+	// the floor. By then each other instance of its zone has sent a heartbeat with its in-flight
+	// requests, even where heartbeats are 1.4 s apart.
+	floorStartDelay = 2 * time.Second
 )
 
-// Placed is a target that was chosen and why.
-type Placed struct {
+// Placement is a chosen target together with the reasons for the choice.
+type Placement struct {
 	*registry.Target
-	// Cost is the expected cost, Fails its part for failure.
-	Cost, Fails float64
-	// InFlight is what all instances had there, this attempt left out.
+	// Cost is the expected cost of the attempt, FailProbability the probability that it fails.
+	Cost, FailProbability float64
+	// InFlight is the number of requests of all instances at the target, without this attempt.
 	InFlight int
-	// Doubtful tells that the others are to hear at once how the attempt ends.
+	// Doubtful reports whether the attempt is likely enough to fail that its result must be sent
+	// to the other instances at once.
 	Doubtful bool
-	// ForFloor tells that the target was chosen to keep enough targets in use.
+	// ForFloor reports whether the target was chosen to keep the floor: the minimum share of
+	// healthy targets in use while a service fails.
 	ForFloor bool
-	// MaxIdle is how long a connection may have been idle to carry the attempt.
+	// MaxIdle is the longest idle time of a connection that may carry the attempt.
 	MaxIdle time.Duration
-	// restarts are those of the target before the attempt.
+	// restarts is the target's restart count before the attempt.
 	restarts int
-	// arrivedBefore is when the latest request before this one began there.
-	arrivedBefore time.Time
-	// inItsZone is how many targets of the service are in the target's zone.
-	inItsZone int
+	// prevArrival is the start time of the latest earlier request at the target.
+	prevArrival time.Time
+	// zoneTargets is the number of the service's targets in the target's zone.
+	zoneTargets int
 }
 
-// at is where the attempt goes.
-func at(t *registry.Target) exchange.Target {
+// exchangeTarget returns the target in the form the exchange client uses.
+func exchangeTarget(t *registry.Target) exchange.Target {
 	return exchange.Target{ID: t.ID, Addr: t.Addr, Born: t.Born}
 }
 
-// turns is how many times the slots must come free, as far as known, before the
-// attempt is done, its own work included; at least 1.
-func (p *Placed) turns() float64 {
+// queueRounds estimates how many rounds of the target's slots pass until the attempt is done,
+// including its own; at least 1.
+func (p *Placement) queueRounds() float64 {
 	return max(float64(p.InFlight+1)/float64(max(p.Slots, 1)), 1)
 }
 
-// crowded tells whether the attempt left no slot free, as far as known.
-func (p *Placed) crowded() bool { return p.InFlight+1 >= p.Slots }
+// fillsTarget reports whether the attempt took the last known free slot of the target.
+func (p *Placement) fillsTarget() bool { return p.InFlight+1 >= p.Slots }
 
-// Place chooses a target among those given, those that were tried, those that are withheld and those that this
-// instance backs off from left out, and counts the attempt in. Warm tells whether a connection that was idle for at most the given time is
-// at hand. It returns false if there is no target.
-func (k *Knowledge) Place(now time.Time, name document.ServiceName, ts []*registry.Target, tried, withheld []fleet.TargetID, w placement.Work, warm func(exchange.Target, time.Duration) bool) (Placed, bool) {
+// Place chooses a target for an attempt and counts the attempt as in flight. It skips targets in
+// tried and withheld and those that this instance backs off from. warm reports whether a
+// connection with at most the given idle time is available. Place returns false if there is no
+// target.
+func (k *Knowledge) Place(now time.Time, name document.ServiceName, ts []*registry.Target, tried, withheld []fleet.TargetID, w placement.Work, warm func(exchange.Target, time.Duration) bool) (Placement, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s := k.service(name)
-	w.KB += s.answerKB
-	w.TypicalTime = s.latency.known().median
+	w.KB += s.meanResponseKB
+	w.TypicalTime = s.latency.current().median
 	candidates := make([]placement.Candidate, 0, len(ts))
 	from := make([]*registry.Target, 0, len(ts))
 	for _, t := range ts {
 		if !slices.Contains(tried, t.ID) && !slices.Contains(withheld, t.ID) && !now.Before(k.target(t.ID).backoff.until) {
-			candidates = append(candidates, k.candidate(now, s, t, warm(at(t), k.maxIdle(now, s, t.ID))))
+			candidates = append(candidates, k.candidate(now, s, t, warm(exchangeTarget(t), k.maxIdle(now, s, t.ID))))
 			from = append(from, t)
 			if t.Zone == k.chooser.Zone {
 				w.ZoneTargets++
@@ -79,34 +82,34 @@
 	}
 	i, cost := k.chooser.Choose(w, candidates)
 	if i < 0 {
-		return Placed{}, false
+		return Placement{}, false
 	}
-	next := k.floor(now, s, w.ZoneTargets, candidates)
+	next := k.floorCandidate(now, s, w.ZoneTargets, candidates)
 	forFloor := next >= 0 && len(tried) == 0
 	if forFloor {
 		i, cost = next, k.chooser.Cost(w, &candidates[next])
 	}
 	c := &candidates[i]
 	chosen := k.target(c.ID)
-	chosen.own++
-	arrivedBefore := chosen.arrivedAt
-	chosen.arrived(now)
-	return Placed{
-		Target:        from[i],
-		Cost:          cost,
-		Fails:         c.FailureProbability,
-		InFlight:      c.InFlight,
-		Doubtful:      c.FailureProbability >= placement.DoubtfulFailureProbability,
-		ForFloor:      forFloor,
-		MaxIdle:       k.maxIdle(now, s, c.ID),
-		restarts:      chosen.restarts,
-		arrivedBefore: arrivedBefore,
-		inItsZone:     inZone(ts, c.Zone),
+	chosen.ownInFlight++
+	prevArrival := chosen.lastArrival
+	chosen.recordArrival(now)
+	return Placement{
+		Target:          from[i],
+		Cost:            cost,
+		FailProbability: c.FailureProbability,
+		InFlight:        c.InFlight,
+		Doubtful:        c.FailureProbability >= placement.DoubtfulFailureProbability,
+		ForFloor:        forFloor,
+		MaxIdle:         k.maxIdle(now, s, c.ID),
+		restarts:        chosen.restarts,
+		prevArrival:     prevArrival,
+		zoneTargets:     countInZone(ts, c.Zone),
 	}, true
 }
 
-// inZone is how many of the targets are in the zone.
-func inZone(ts []*registry.Target, z fleet.Zone) int {
+// countInZone returns the number of targets in the zone.
+func countInZone(ts []*registry.Target, z fleet.Zone) int {
 	n := 0
 	for _, t := range ts {
 		if t.Zone == z {
@@ -116,27 +119,28 @@
 	return n
 }
 
-// Concerns tells whether an instance of the zone, named by its address, should hear at once
-// of an attempt that was placed.
-func (k *Knowledge) Concerns(addr string, p *Placed) bool {
-	return k.chooser.Considers(fleet.InstanceID(addr), p.ID, p.inItsZone)
+// ShouldNotify reports whether the instance of this zone at addr must be notified of the
+// placement at once.
+func (k *Knowledge) ShouldNotify(addr string, p *Placement) bool {
+	return k.chooser.Considers(fleet.InstanceID(addr), p.ID, p.zoneTargets)
 }
 
-// InFlight is what this instance has in flight at a target.
+// InFlight returns the number of requests this instance has in flight at a target.
 func (k *Knowledge) InFlight(id fleet.TargetID) mesh.Load {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return mesh.Load{Target: id, InFlight: k.target(id).own}
+	return mesh.Load{Target: id, InFlight: k.target(id).ownInFlight}
 }
 
-// maxIdle is how long a connection to the target may have been idle.
+// maxIdle returns the longest idle time of a reusable connection to the target.
 func (k *Knowledge) maxIdle(now time.Time, s *service, id fleet.TargetID) time.Duration {
-	return min(s.reuse.most(now), k.target(id).reuse.most(now))
+	return min(s.reuse.maxIdle(now), k.target(id).reuse.maxIdle(now))
 }
 
-// floor returns the target to be tried so that enough are in use; -1 if none is.
-func (k *Knowledge) floor(now time.Time, s *service, inZone int, candidates []placement.Candidate) int {
-	if now.Sub(k.census.booted) < floorAfter {
+// floorCandidate returns the index of the candidate to use next so that enough targets stay in
+// use, or -1 if there is none.
+func (k *Knowledge) floorCandidate(now time.Time, s *service, inZone int, candidates []placement.Candidate) int {
+	if now.Sub(k.instanceCount.booted) < floorStartDelay {
 		return -1
 	}
 	return k.chooser.FloorTarget(s.estimator.RecentFailureRate(), inZone, candidates)
@@ -150,50 +154,51 @@
 		Slots:                rt.Slots,
 		UnhealthyProbability: s.estimator.UnhealthyProbability(now, rt.ID),
 		FailureProbability:   s.estimator.FailureProbability(now, rt.ID),
-		InFlight:             t.own + t.others,
+		InFlight:             t.ownInFlight + t.peerInFlight,
 		HasConn:              warm,
 		PathCut:              now.Before(t.cutUntil),
 		Warming:              now.Before(rt.WarmAt),
 		BackedOff:            now.Before(t.backoff.peersUntil),
 		SinceUse:             now.Sub(t.lastUse),
-		// An arrival may be known before any use is, which is told as an attempt ends.
-		SinceStart:      now.Sub(t.arrivedAt),
-		Joined:          t.lastUse.IsZero() && now.Sub(rt.WarmAt) < joinedFor,
-		ZoneResponsible: k.near(now, rt.Zone),
+		// Peers report use only when an attempt ends, but an arrival when it begins.
+		SinceStart:      now.Sub(t.lastArrival),
+		Joined:          t.lastUse.IsZero() && now.Sub(rt.WarmAt) < joinPreferencePeriod,
+		ZoneResponsible: k.coversZone(now, rt.Zone),
 	}
 }
 
-// near tells whether this zone's instances look after targets of the given zone:
-// their own, and those of a zone from which nothing is heard.
-func (k *Knowledge) near(now time.Time, name fleet.Zone) bool {
+// coversZone reports whether instances of this zone are responsible for targets of the given
+// zone: their own zone, and zones that have sent nothing recently.
+func (k *Knowledge) coversZone(now time.Time, name fleet.Zone) bool {
 	if name == k.chooser.Zone {
 		return true
 	}
 	z := k.zones[name]
-	return z == nil || now.Sub(z.heard) > peerLoadFor
+	return z == nil || now.Sub(z.lastReceived) > peerLoadTimeout
 }
 
-// Withdraw counts out an attempt that is not made.
-func (k *Knowledge) Withdraw(p Placed) {
-	k.Ended(p)
+// Withdraw reverts the counts of an attempt that was not made.
+func (k *Knowledge) Withdraw(p Placement) {
+	k.Done(p)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if t := k.target(p.ID); t.restarts == p.restarts {
-		t.arrivedAt = p.arrivedBefore
+		t.lastArrival = p.prevArrival
 	}
 }
 
-// Ended counts an attempt out, unless its target has started again since.
-func (k *Knowledge) Ended(p Placed) {
+// Done removes an ended attempt from the requests in flight, unless its target has restarted
+// since.
+func (k *Knowledge) Done(p Placement) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if t := k.target(p.ID); t.restarts == p.restarts && t.own > 0 {
-		t.own--
+	if t := k.target(p.ID); t.restarts == p.restarts && t.ownInFlight > 0 {
+		t.ownInFlight--
 	}
 }
 
-// Utilization is the part of the targets' slots that all instances have in use; slots tells how many a target
-// has. Those that this instance backs off from have none to use.
+// Utilization returns the share of the targets' slots in use by all instances. slots returns the
+// number of slots of a target. Targets that this instance backs off from are left out.
 func (k *Knowledge) Utilization(now time.Time, ts []*registry.Target, slots func(*registry.Target) float64) float64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -203,7 +208,7 @@
 		if now.Before(x.backoff.until) {
 			continue
 		}
-		used += x.own + x.others
+		used += x.ownInFlight + x.peerInFlight
 		all += slots(t)
 	}
 	if all == 0 {
--- a/gateway/fleet_bench_test.go
+++ b/gateway/fleet_bench_test.go
@@ -17,16 +17,16 @@
 	"github.com/clementinereel/clementinereel/suspicion"
 )
 
-// A fleet as its users plan it: zones of equal size, and targets of three services.
+// The benchmark fleet has zones of equal size and targets of three services.
 const (
 	benchZones    = 5
 	benchServices = 3
-	// perInstance is how many targets there are for each instance.
-	perInstance = 2.25
+	// targetsPerInstance is the number of targets per instance.
+	targetsPerInstance = 2.25
 )
 
-// benchFleet is one instance that knows all others of its fleet, whose datagrams go to a
-// socket that drops them.
+// benchFleet is one instance that knows all others of its fleet. Its datagrams go to a socket
+// that discards them.
 type benchFleet struct {
 	node      *mesh.Node
 	knowledge *Knowledge
@@ -48,7 +48,7 @@
 		f.addrs = append(f.addrs, fmt.Sprintf("127.0.%d.%d:%d", i/250+1, i%250+1, port))
 		f.zones = append(f.zones, fleet.Zone(rune('a'+i%benchZones)))
 	}
-	for i := range int(perInstance * float64(instances)) {
+	for i := range int(targetsPerInstance * float64(instances)) {
 		service := fmt.Sprintf("service-%d", i%benchServices)
 		t := &registry.Target{Entry: registry.Entry{
 			ID: fleet.TargetID(fmt.Sprintf("i-%010d", i)), Zone: fleet.Zone(rune('a' + i/benchServices%benchZones)), Slots: 4,
@@ -58,22 +58,22 @@
 	}
 	f.node, err = mesh.Listen(mesh.Config{Addr: "127.0.0.1:0", Zone: "a", Boot: time.Now().Add(-time.Hour), LinkBytes: 1 << 40},
 		mesh.Callbacks{
-			FillHeartbeat: f.knowledge.Fill,
+			FillHeartbeat: f.knowledge.FillHeartbeat,
 			FillGreeting:  func(time.Time, *mesh.Packet) {},
 			Digest: func(now time.Time, first bool) *mesh.Digest {
 				return f.knowledge.Digest(now, f.node.View(), first)
 			},
-			Handle: f.knowledge.Take,
+			Handle: f.knowledge.HandlePacket,
 		})
 	assert.NilError(b, err)
 	for i := range f.addrs {
-		f.node.HandleDatagram(f.encoded(b, i, &mesh.Packet{Heartbeat: true}))
+		f.node.HandleDatagram(f.encodeFrom(b, i, &mesh.Packet{Heartbeat: true}))
 	}
 	return f
 }
 
-// encoded is a datagram of another instance.
-func (f *benchFleet) encoded(b *testing.B, from int, p *mesh.Packet) []byte {
+// encodeFrom returns an encoded packet of another instance.
+func (f *benchFleet) encodeFrom(b *testing.B, from int, p *mesh.Packet) []byte {
 	f.sequence++
 	p.Addr, p.Zone, p.Boot, p.Sequence, p.Document, p.Registry = f.addrs[from], f.zones[from], 1, f.sequence, 1207, 4311
 	raw, err := cbor.Marshal(p)
@@ -85,8 +85,8 @@
 	return f.byService["service-0"][i%len(f.byService["service-0"])].ID
 }
 
-// BenchmarkFleetWork is the cost of each thing that an instance does for the fleet, by the
-// number of instances. How often each comes is in docs/CAPACITY.md.
+// BenchmarkFleetWork measures the cost of each operation an instance performs for the fleet, by
+// number of instances. The frequency of each operation is in docs/CAPACITY.md.
 func BenchmarkFleetWork(b *testing.B) {
 	for _, instances := range []int{36, 293, 920} {
 		f := newBenchFleet(b, instances)
@@ -97,18 +97,18 @@
 		}
 		work := map[string]func(i int){
 			"hear-load": func(i int) {
-				f.node.HandleDatagram(f.encoded(b, i%instances/benchZones*benchZones, &mesh.Packet{Load: loads[:1]}))
+				f.node.HandleDatagram(f.encodeFrom(b, i%instances/benchZones*benchZones, &mesh.Packet{Load: loads[:1]}))
 			},
-			"hear-failure": func(i int) { f.node.HandleDatagram(f.encoded(b, i%instances, &mesh.Packet{Evidence: failure})) },
+			"hear-failure": func(i int) { f.node.HandleDatagram(f.encodeFrom(b, i%instances, &mesh.Packet{Evidence: failure})) },
 			"hear-heartbeat": func(i int) {
-				f.node.HandleDatagram(f.encoded(b, i%instances/benchZones*benchZones, &mesh.Packet{Heartbeat: true, Load: loads}))
+				f.node.HandleDatagram(f.encodeFrom(b, i%instances/benchZones*benchZones, &mesh.Packet{Heartbeat: true, Load: loads}))
 			},
-			"encode":    func(i int) { f.encoded(b, i%instances, &mesh.Packet{Load: loads[:1]}) },
+			"encode":    func(i int) { f.encodeFrom(b, i%instances, &mesh.Packet{Load: loads[:1]}) },
 			"heartbeat": func(int) { f.node.SendHeartbeat() },
 			"tell-load": func(i int) {
 				ts := f.byService["service-0"]
-				p := &Placed{Target: ts[i%len(ts)], inItsZone: len(ts) / benchZones}
-				f.node.SendLoad(mesh.Load{Target: p.ID, InFlight: 1}, func(addr string) bool { return f.knowledge.Concerns(addr, p) })
+				p := &Placement{Target: ts[i%len(ts)], zoneTargets: len(ts) / benchZones}
+				f.node.SendLoad(mesh.Load{Target: p.ID, InFlight: 1}, func(addr string) bool { return f.knowledge.ShouldNotify(addr, p) })
 			},
 			"tell-failure": func(int) { f.node.SendUpdate(mesh.Packet{Evidence: failure}) },
 			"view":         func(int) { f.node.View() },
@@ -119,7 +119,7 @@
 			"place": func(int) {
 				p, _ := f.knowledge.Place(time.Now(), "service-0", f.byService["service-0"], nil, nil, placement.Work{Objective: time.Second},
 					func(exchange.Target, time.Duration) bool { return false })
-				f.knowledge.Ended(p)
+				f.knowledge.Done(p)
 			},
 		}
 		for _, name := range []string{"hear-load", "hear-failure", "hear-heartbeat", "encode", "heartbeat", "tell-load", "tell-failure", "view", "tick", "spend", "place"} {
--- a/gateway/fuzz_test.go
+++ b/gateway/fuzz_test.go
@@ -30,13 +30,13 @@
 			return
 		}
 		k := newKnowledge()
-		k.Take(start, &p)
+		k.HandlePacket(start, &p)
 		later := start.Add(time.Second)
 		k.Digest(later, viewOf(), true)
-		k.Beliefs(later)
+		k.HealthEstimates(later)
 		k.SpendBudget(later, "s", true)
 		k.Lend(later, p.Addr, p.LoanRequests)
-		if _, ok := k.Place(later, "s", targets("t1", "t2"), nil, nil, placement.Work{}, cold); !ok {
+		if _, ok := k.Place(later, "s", targets("t1", "t2"), nil, nil, placement.Work{}, noWarmConn); !ok {
 			t.Fatal("no target was chosen")
 		}
 	})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -84,7 +84,7 @@
 	g.poison = poison.New()
 	g.state = statesync.NewState(uint64(g.booted.UnixNano()), g.announceVersions)
 	g.state.LeaveWithin(s.RemovalTimeout)
-	g.state.OnRestart(func(ids []fleet.TargetID) { g.knowledge.Restarted(time.Now(), ids) })
+	g.state.OnRestart(func(ids []fleet.TargetID) { g.knowledge.ResetRestarted(time.Now(), ids) })
 	g.client = &exchange.Client{Cache: exchange.NewCache(dialTimeout), Headers: s.Headers, MaxAnswer: maxResponseBytes, OnHead: g.handleResponseHeader, Admit: g.admits}
 	if err := g.listen(); err != nil {
 		return nil, err
@@ -122,7 +122,7 @@
 // fillHeartbeat adds this instance's state to a heartbeat.
 func (g *Gateway) fillHeartbeat(now time.Time, p *mesh.Packet) {
 	g.fillVersions(p)
-	g.knowledge.Fill(now, p)
+	g.knowledge.FillHeartbeat(now, p)
 	g.fillQueuedEvidence(now, p)
 	g.fillContents(now, p)
 	g.rates.fill(now, p)
@@ -132,7 +132,7 @@
 // fillGreeting adds health estimates, contents, rates and departures to the first packet to
 // a newly found instance.
 func (g *Gateway) fillGreeting(now time.Time, p *mesh.Packet) {
-	p.Estimates = g.knowledge.Beliefs(now)
+	p.Estimates = g.knowledge.HealthEstimates(now)
 	g.fillContents(now, p)
 	g.rates.fill(now, p)
 	g.fillDepartures(now, p)
@@ -172,7 +172,7 @@
 
 // handlePacket handles a packet of another instance.
 func (g *Gateway) handlePacket(now time.Time, p *mesh.Packet) {
-	g.knowledge.Take(now, p)
+	g.knowledge.HandlePacket(now, p)
 	g.handleContents(now, p)
 	g.rates.handlePacket(now, p)
 	g.handleDepartures(p)
@@ -311,7 +311,7 @@
 	targets := g.state.Targets()
 	// Until the targets are available, peers' reports about them are kept.
 	noTargets := targets.Len() == 0
-	g.knowledge.Count(now, view)
+	g.knowledge.UpdateInstanceCount(now, view)
 	g.knowledge.Tick(now)
 	g.contents.Tick(now)
 	g.rates.tick(now)
@@ -324,7 +324,7 @@
 	}
 	g.client.Cache.Sweep(now, func(t exchange.Target) bool {
 		rt := targets.Target(t.ID)
-		return noTargets || (rt != nil && at(rt) == t)
+		return noTargets || (rt != nil && exchangeTarget(rt) == t)
 	})
 	if t := g.state.Table(); t != nil && !g.stopping.Load() {
 		g.callerServer.closeIdle(t.Document.Limits.IdleTimeout)
--- a/gateway/handler_test.go
+++ b/gateway/handler_test.go
@@ -159,7 +159,7 @@
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		g.knowledge.mu.Lock()
 		defer g.knowledge.mu.Unlock()
-		if g.ready.Load() && g.knowledge.census.most.number() > 0 {
+		if g.ready.Load() && g.knowledge.instanceCount.recent.value() > 0 {
 			return poll.Success()
 		}
 		return poll.Continue("not ready")
@@ -180,7 +180,7 @@
 	assert.NilError(t, s.Complete())
 	g, err := New(s, store)
 	assert.NilError(t, err)
-	g.knowledge.census.booted = time.Now().Add(-time.Hour) // so that its retry budget does not start at zero
+	g.knowledge.instanceCount.booted = time.Now().Add(-time.Hour) // so that its retry budget does not start at zero
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
--- a/gateway/knowledge.go
+++ b/gateway/knowledge.go
@@ -11,92 +11,91 @@
 	"github.com/clementinereel/clementinereel/suspicion"
 )
 
-// peerLoadFor is how long a silent peer's load is counted.
-const peerLoadFor = 3 * time.Second
+// peerLoadTimeout is how long the load of a silent peer is counted.
+const peerLoadTimeout = 3 * time.Second
 
-// peerForgottenAfter is when a silent peer or zone is dropped from the tables.
-const peerForgottenAfter = 20 * time.Second
+// peerTimeout is how long a silent peer or zone is kept in the tables.
+const peerTimeout = 20 * time.Second
 
-// Knowledge is what one instance knows of targets and budgets, from its own
-// attempts and from what others told. It is safe for concurrent use.
+// Knowledge holds an instance's state of targets and retry budgets, updated by its own attempts
+// and by reports from other instances. It is safe for concurrent use.
 type Knowledge struct {
 	chooser *placement.Chooser
 	retry   pooled.Config
 
-	mu       sync.Mutex
-	services map[document.ServiceName]*service
-	targets  map[fleet.TargetID]*target
-	peers    map[string]*peer
-	zones    map[fleet.Zone]*zone
-	pending  []gathered
-	census   census
-	// lastCut is the last path that was found cut.
+	mu            sync.Mutex
+	services      map[document.ServiceName]*service
+	targets       map[fleet.TargetID]*target
+	peers         map[string]*peer
+	zones         map[fleet.Zone]*zone
+	pending       []pendingEvidence
+	instanceCount instanceCount
+	// lastCut is the most recent failed path.
 	lastCut struct {
 		id fleet.TargetID
 		at time.Time
 	}
 }
 
-// service is what is known of a service.
+// service is the state of a service.
 type service struct {
 	estimator *suspicion.Estimator
 	budget    *pooled.Budget
 	latency   latency
-	// answerKB is the running mean of answers' sizes, answers their number.
-	answerKB float64
-	answers  int
-	reuse    reuse
-	// askedAt is when others were last asked for a part of their budgets.
-	askedAt time.Time
+	// meanResponseKB is the running mean response size, responses the number of responses.
+	meanResponseKB float64
+	responses      int
+	reuse          reuseStats
+	// loansRequestedAt is when loans were last requested from other instances.
+	loansRequestedAt time.Time
 }
 
-// target is what is known of a target beside its estimate.
+// target is the state of a target apart from its health estimate.
 type target struct {
-	own, others int // in flight
-	// lastUse is when any instance last told of a request that reached it.
+	ownInFlight, peerInFlight int
+	// lastUse is when an instance last reported an attempt that reached the target.
 	lastUse time.Time
-	// arrivedAt is when the latest request that is known began there.
-	arrivedAt time.Time
-	cutUntil  time.Time
-	cutFor    time.Duration
-	// successes are those of the own zone that other zones were not told of;
-	// began is when the latest began.
-	successes int
-	began     time.Time
-	service   document.ServiceName
-	reuse     idleBound
-	backoff   backoff
-	// restarts counts the processes that were followed by another under the target's
-	// ID, and restartedAt is when this instance learned of the last.
+	// lastArrival is the latest known start of a request at the target.
+	lastArrival time.Time
+	cutUntil    time.Time
+	cutDuration time.Duration
+	// unreportedSuccesses counts successes of this zone not yet sent to other zones;
+	// lastSuccessBegan is the start of the latest one.
+	unreportedSuccesses int
+	lastSuccessBegan    time.Time
+	service             document.ServiceName
+	reuse               idleBound
+	backoff             backoff
+	// restarts counts process restarts under the target's ID; restartedAt is when this instance
+	// learned of the last one.
 	restarts    int
 	restartedAt time.Time
 }
 
-// arrived notes that a request began at the target.
-func (t *target) arrived(at time.Time) {
-	if at.After(t.arrivedAt) {
-		t.arrivedAt = at
+// recordArrival records that a request began at the target.
+func (t *target) recordArrival(at time.Time) {
+	if at.After(t.lastArrival) {
+		t.lastArrival = at
 	}
 }
 
-// NewKnowledge returns the knowledge of an instance that has seen nothing, and whose process
-// started at the given time.
+// NewKnowledge returns the empty state of an instance whose process started at booted.
 func NewKnowledge(c *placement.Chooser, retry pooled.Config, booted time.Time) *Knowledge {
 	return &Knowledge{
-		census:   census{booted: booted},
-		chooser:  c,
-		retry:    retry,
-		services: make(map[document.ServiceName]*service),
-		targets:  make(map[fleet.TargetID]*target),
-		peers:    make(map[string]*peer),
-		zones:    make(map[fleet.Zone]*zone),
+		instanceCount: instanceCount{booted: booted},
+		chooser:       c,
+		retry:         retry,
+		services:      make(map[document.ServiceName]*service),
+		targets:       make(map[fleet.TargetID]*target),
+		peers:         make(map[string]*peer),
+		zones:         make(map[fleet.Zone]*zone),
 	}
 }
 
 func (k *Knowledge) service(name document.ServiceName) *service {
 	s := k.services[name]
 	if s == nil {
-		s = &service{estimator: suspicion.New(), budget: pooled.New(k.retry, k.census.booted), answerKB: guessedAnswerKB}
+		s = &service{estimator: suspicion.New(), budget: pooled.New(k.retry, k.instanceCount.booted), meanResponseKB: initialResponseKB}
 		k.services[name] = s
 	}
 	return s
@@ -111,10 +110,10 @@
 	return t
 }
 
-// Restarted forgets what was seen of targets that have started again under their ID:
-// whether they fail, what they have in flight, which paths to them are cut and how long
-// their connections rest. What comes later of attempts that began before is passed over.
-func (k *Knowledge) Restarted(now time.Time, ids []fleet.TargetID) {
+// ResetRestarted discards the state of targets that restarted under the same ID: health estimate,
+// requests in flight, failed paths and connection reuse. Later reports of attempts that began
+// before the restart are ignored.
+func (k *Knowledge) ResetRestarted(now time.Time, ids []fleet.TargetID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, id := range ids {
@@ -131,34 +130,34 @@
 	}
 }
 
-// Tick drops what is old of peers and zones.
+// Tick expires state of silent peers and zones.
 func (k *Knowledge) Tick(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for addr, p := range k.peers {
-		if now.Sub(p.heard) > peerLoadFor {
+		if now.Sub(p.lastReceived) > peerLoadTimeout {
 			k.dropLoad(p)
 		}
-		if now.Sub(p.heard) > peerForgottenAfter {
+		if now.Sub(p.lastReceived) > peerTimeout {
 			delete(k.peers, addr)
 		}
 	}
 	for name, z := range k.zones {
-		if now.Sub(z.heard) > peerLoadFor {
+		if now.Sub(z.lastReceived) > peerLoadTimeout {
 			k.dropLoad(&z.peer)
 		}
-		if now.Sub(z.heard) > peerForgottenAfter {
+		if now.Sub(z.lastReceived) > peerTimeout {
 			delete(k.zones, name)
 		}
 	}
 }
 
-// Forget drops the targets that are not in use and have nothing in flight.
+// Forget drops targets that are not in use and have no requests in flight.
 func (k *Knowledge) Forget(inUse func(fleet.TargetID) bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for id, t := range k.targets {
-		if !inUse(id) && t.own == 0 && t.others == 0 {
+		if !inUse(id) && t.ownInFlight == 0 && t.peerInFlight == 0 {
 			delete(k.targets, id)
 		}
 	}
@@ -167,8 +166,8 @@
 	}
 }
 
-// Suspects is how many targets of each service count as sick.
-func (k *Knowledge) Suspects() map[document.ServiceName]int {
+// SuspectCounts returns the number of suspected targets by service.
+func (k *Knowledge) SuspectCounts() map[document.ServiceName]int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	n := make(map[document.ServiceName]int, len(k.services))
--- a/gateway/latency.go
+++ b/gateway/latency.go
@@ -6,35 +6,35 @@
 )
 
 const (
-	// latencySamples is how many of the last good attempts are looked at.
+	// latencySamples is the number of recent good attempts considered.
 	latencySamples = 256
-	// latencyEvery is after how many samples the bounds are worked out anew.
-	latencyEvery = 16
-	// slowShare is the part of good attempts that are below the slow bound.
-	slowShare = 0.97
-	// usualShare is the part of good attempts that are below the usual bound.
-	usualShare = 0.93
-	// slowDefault, usualDefault and medianDefault hold until enough samples came.
-	slowDefault   = 900 * time.Millisecond
-	usualDefault  = 700 * time.Millisecond
-	medianDefault = 300 * time.Millisecond
-	// trivial is the part of the long durations below which an answer took no
-	// work, as one that is refused by its content.
-	trivial = 0.1
-	// slowTimes is the least slow bound, in medians.
-	slowTimes = 1.8
+	// latencyUpdateSamples is the number of samples between updates of the bounds.
+	latencyUpdateSamples = 16
+	// slowQuantile is the quantile of good attempts used as the slow bound.
+	slowQuantile = 0.97
+	// usualQuantile is the quantile of good attempts used as the usual bound.
+	usualQuantile = 0.93
+	// Defaults apply until there are enough samples.
+	defaultSlow   = 900 * time.Millisecond
+	defaultUsual  = 700 * time.Millisecond
+	defaultMedian = 300 * time.Millisecond
+	// trivialFraction is the fraction of the 90th percentile below which a response took no work,
+	// such as a rejection because of the request's content. Such responses are ignored.
+	trivialFraction = 0.1
+	// minSlowFactor is the smallest slow bound as a multiple of the median.
+	minSlowFactor = 1.8
 )
 
-// latency keeps the last durations of good attempts of a service.
+// latency holds the durations of recent good attempts of a service.
 type latency struct {
-	ring  [latencySamples]time.Duration
-	count int
-	bounds
+	samples [latencySamples]time.Duration
+	count   int
+	latencyBounds
 }
 
-// bounds sum up durations.
-type bounds struct {
-	// slow is above nearly all, usual above most, and median above half.
+// latencyBounds summarizes durations.
+type latencyBounds struct {
+	// slow is a bound on nearly all durations, usual a bound on most.
 	slow, usual, median time.Duration
 }
 
@@ -42,28 +42,28 @@
 	if d <= 0 {
 		return
 	}
-	l.ring[l.count%latencySamples] = d
+	l.samples[l.count%latencySamples] = d
 	l.count++
-	if l.count >= 2*latencyEvery && l.count%latencyEvery == 0 {
-		l.work()
+	if l.count >= 2*latencyUpdateSamples && l.count%latencyUpdateSamples == 0 {
+		l.updateBounds()
 	}
 }
 
-func (l *latency) work() {
-	sorted := slices.Clone(l.ring[:min(l.count, latencySamples)])
+func (l *latency) updateBounds() {
+	sorted := slices.Clone(l.samples[:min(l.count, latencySamples)])
 	slices.Sort(sorted)
-	long := sorted[len(sorted)*9/10]
-	first, _ := slices.BinarySearch(sorted, time.Duration(trivial*float64(long)))
+	p90 := sorted[len(sorted)*9/10]
+	first, _ := slices.BinarySearch(sorted, time.Duration(trivialFraction*float64(p90)))
 	sorted = sorted[first:]
 	l.median = sorted[len(sorted)/2]
-	l.usual = sorted[int(float64(len(sorted)-1)*usualShare)]
-	l.slow = max(sorted[int(float64(len(sorted)-1)*slowShare)], time.Duration(slowTimes*float64(l.median)))
+	l.usual = sorted[int(float64(len(sorted)-1)*usualQuantile)]
+	l.slow = max(sorted[int(float64(len(sorted)-1)*slowQuantile)], time.Duration(minSlowFactor*float64(l.median)))
 }
 
-// known returns the bounds, or defaults until enough samples came.
-func (l *latency) known() bounds {
+// current returns the bounds, or defaults until there are enough samples.
+func (l *latency) current() latencyBounds {
 	if l.slow == 0 {
-		return bounds{slow: slowDefault, usual: usualDefault, median: medianDefault}
+		return latencyBounds{slow: defaultSlow, usual: defaultUsual, median: defaultMedian}
 	}
-	return l.bounds
+	return l.latencyBounds
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -91,7 +91,7 @@
 	for s, n := range g.contents.Counts() {
 		m.Registry.Gauge("gateway.contents", telemetry.Label{Key: "standing", Value: s.String()}).Update(int64(n))
 	}
-	for name, n := range g.knowledge.Suspects() {
+	for name, n := range g.knowledge.SuspectCounts() {
 		m.Registry.Gauge("gateway.targets.suspected", telemetry.Label{Key: "service", Value: string(name)}).Update(int64(n))
 	}
 }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -11,34 +11,34 @@
 	"github.com/clementinereel/clementinereel/suspicion"
 )
 
-// peer is what another instance of the zone told.
+// peer is the state reported by another instance of the zone.
 type peer struct {
-	boot  int64
-	heard time.Time
-	load  map[fleet.TargetID]int
+	boot         int64
+	lastReceived time.Time
+	load         map[fleet.TargetID]int
 }
 
-// gathered is an observation that was not told yet.
-type gathered struct {
+// pendingEvidence is an observation that has not been sent to other instances.
+type pendingEvidence struct {
 	mesh.Evidence
 	began time.Time
 }
 
-// tally counts a success of the own zone, for its digest.
-func (k *Knowledge) tally(e mesh.Evidence, began time.Time) {
+// countSuccess counts a success of this zone for its digest.
+func (k *Knowledge) countSuccess(e mesh.Evidence, began time.Time) {
 	if e.Observation != suspicion.Success {
 		return
 	}
 	t := k.target(e.Target)
-	t.successes++
+	t.unreportedSuccesses++
 	t.service = e.Service
-	if began.After(t.began) {
-		t.began = began
+	if began.After(t.lastSuccessBegan) {
+		t.lastSuccessBegan = began
 	}
 }
 
-// arrived tells whether the observation means that a request reached the target.
-func arrived(o suspicion.Observation) bool {
+// reachedTarget reports whether the observation implies that a request reached the target.
+func reachedTarget(o suspicion.Observation) bool {
 	switch o {
 	case suspicion.Unreachable, suspicion.ConnRefused, suspicion.WrongTarget:
 		return false
@@ -46,24 +46,24 @@
 	return true
 }
 
-// Take takes in a packet of another instance.
-func (k *Knowledge) Take(now time.Time, p *mesh.Packet) {
+// HandlePacket applies a packet of another instance.
+func (k *Knowledge) HandlePacket(now time.Time, p *mesh.Packet) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if p.Digest != nil {
-		k.takeDigest(now, p.Zone, p.Digest)
+		k.applyDigest(now, p.Zone, p.Digest)
 	}
-	k.adopt(now, p.Estimates, p.Addr)
+	k.adoptEstimates(now, p.Estimates, p.Addr)
 	k.applyPeerBackoffs(now, p.Backoffs)
 	for _, e := range p.Evidence {
 		began := now.Add(-millis(e.AgeMillis))
 		k.observe(now, e, began, p.Addr)
 		if p.Zone == k.chooser.Zone {
-			k.tally(e, began)
+			k.countSuccess(e, began)
 		}
 	}
 	if p.Zone != k.chooser.Zone {
-		return // its load is in its zone's digest
+		return // the zone's digest carries its load
 	}
 	pr := k.peers[p.Addr]
 	if pr == nil || pr.boot != p.Boot {
@@ -71,25 +71,25 @@
 		pr = &peer{boot: p.Boot, load: make(map[fleet.TargetID]int)}
 		k.peers[p.Addr] = pr
 	}
-	pr.heard = now
+	pr.lastReceived = now
 	known := pr.load
 	if p.Heartbeat {
 		known = maps.Clone(pr.load)
 		k.dropLoad(pr)
 	}
-	pr.takeLoad(now, k, p.Load, known)
+	pr.applyLoad(now, k, p.Load, known)
 	k.applyLoans(now, p.Loans)
 }
 
-// takeLoad takes in the peer's load at some targets. Where it is higher than what was known
-// before, a request has begun there.
-func (pr *peer) takeLoad(now time.Time, k *Knowledge, loads []mesh.Load, known map[fleet.TargetID]int) {
+// applyLoad records the peer's load at some targets. Where it is higher than known, a request has
+// begun.
+func (pr *peer) applyLoad(now time.Time, k *Knowledge, loads []mesh.Load, known map[fleet.TargetID]int) {
 	for _, l := range loads {
 		t := k.target(l.Target)
 		if l.InFlight > known[l.Target] {
-			t.arrived(now)
+			t.recordArrival(now)
 		}
-		t.others += l.InFlight - pr.load[l.Target]
+		t.peerInFlight += l.InFlight - pr.load[l.Target]
 		pr.load[l.Target] = l.InFlight
 	}
 }
@@ -99,38 +99,39 @@
 		return
 	}
 	for id, n := range p.load {
-		k.target(id).others -= n
+		k.target(id).peerInFlight -= n
 	}
 	clear(p.load)
 }
 
-// Fill completes a heartbeat.
-func (k *Knowledge) Fill(now time.Time, p *mesh.Packet) {
+// FillHeartbeat adds load, evidence and the instance count to a heartbeat.
+func (k *Knowledge) FillHeartbeat(now time.Time, p *mesh.Packet) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for id, t := range k.targets {
-		if t.own > 0 {
-			p.Load = append(p.Load, mesh.Load{Target: id, InFlight: t.own})
+		if t.ownInFlight > 0 {
+			p.Load = append(p.Load, mesh.Load{Target: id, InFlight: t.ownInFlight})
 		}
 	}
-	p.Evidence = k.takePending(now)
-	p.Instances = k.census.own(now)
+	p.Evidence = k.drainPending(now)
+	p.Instances = k.instanceCount.ownCount(now)
 }
 
-// beliefEntries bounds the beliefs of a greeting, so that it stays within a datagram of
-// about 1.4 KB beside the names of other instances.
-const beliefEntries = 24
+// maxGreetingEstimates limits the health estimates in a greeting so that it fits in a datagram of
+// about 1.4 KB together with the addresses of other instances.
+const maxGreetingEstimates = 24
 
-// beliefAge is for how long after a target has started again a peer may still tell of the
-// earlier process: as long as a change may take to be in force everywhere.
-const beliefAge = 2 * time.Second
+// maxEstimateLag is how long after a restart a peer may still send estimates of the earlier
+// process: the longest time a change takes to propagate.
+const maxEstimateLag = 2 * time.Second
 
-// permille is the unit in which beliefs are told.
+// permille is the unit of health estimates and loans in packets.
 const permille = 1000
 
-// Beliefs are what the instance believes of targets: first of those that are likely
-// sick, for a fresh instance would lose a request at each, then of some others.
-func (k *Knowledge) Beliefs(now time.Time) []mesh.Estimate {
+// HealthEstimates returns the estimates to send to a new instance, at most maxGreetingEstimates.
+// The targets most likely unhealthy come first, since the new instance would lose a request at
+// each.
+func (k *Knowledge) HealthEstimates(now time.Time) []mesh.Estimate {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var all []mesh.Estimate
@@ -140,14 +141,14 @@
 		})
 	}
 	slices.SortFunc(all, func(a, b mesh.Estimate) int { return b.Permille - a.Permille })
-	return all[:min(len(all), beliefEntries)]
+	return all[:min(len(all), maxGreetingEstimates)]
 }
 
-// adopt takes over what another instance believes of targets of which this one knows
-// nothing.
-func (k *Knowledge) adopt(now time.Time, bs []mesh.Estimate, from string) {
+// adoptEstimates takes another instance's health estimates for targets that this instance has not
+// observed.
+func (k *Knowledge) adoptEstimates(now time.Time, bs []mesh.Estimate, from string) {
 	for _, b := range bs {
-		if k.ofEarlierProcess(b.Target, now.Add(-beliefAge)) {
+		if k.predatesRestart(b.Target, now.Add(-maxEstimateLag)) {
 			continue
 		}
 		sick := float64(b.Permille) / permille
@@ -157,22 +158,22 @@
 	}
 }
 
-// News returns what cannot wait for the next heartbeat.
-func (k *Knowledge) News(now time.Time, id fleet.TargetID) mesh.Packet {
+// UrgentUpdate returns the updates that cannot wait for the next heartbeat.
+func (k *Knowledge) UrgentUpdate(now time.Time, id fleet.TargetID) mesh.Packet {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return mesh.Packet{
-		Evidence: k.takePending(now),
-		Load:     []mesh.Load{{Target: id, InFlight: k.target(id).own}},
+		Evidence: k.drainPending(now),
+		Load:     []mesh.Load{{Target: id, InFlight: k.target(id).ownInFlight}},
 	}
 }
 
-func (k *Knowledge) takePending(now time.Time) []mesh.Evidence {
-	told := make([]mesh.Evidence, 0, len(k.pending))
-	for _, g := range k.pending {
-		g.AgeMillis = now.Sub(g.began).Milliseconds()
-		told = append(told, g.Evidence)
+func (k *Knowledge) drainPending(now time.Time) []mesh.Evidence {
+	evidence := make([]mesh.Evidence, 0, len(k.pending))
+	for _, p := range k.pending {
+		p.AgeMillis = now.Sub(p.began).Milliseconds()
+		evidence = append(evidence, p.Evidence)
 	}
 	k.pending = k.pending[:0]
-	return told
+	return evidence
 }
--- a/gateway/poison_test.go
+++ b/gateway/poison_test.go
@@ -60,7 +60,7 @@
 					assert.Equal(t, status, http.StatusOK)
 				}
 				sendRequest(t.Context(), t, "GET", url+"/get/poison")
-				suspects := g.knowledge.Suspects()["s"]
+				suspects := g.knowledge.SuspectCounts()["s"]
 				switch {
 				case !clear.IsZero():
 					most = max(most, suspects)
--- a/gateway/ratenews.go
+++ b/gateway/ratenews.go
@@ -72,7 +72,7 @@
 	if change == targetrate.Unchanged {
 		return
 	}
-	logRateChange(n, change, fromSelf, now)
+	logRateChange(n, change, sourceSelf, now)
 	rs.node.TellRates([]mesh.TargetRate{encodeNaming(now, n, "")}, true)
 }
 
--- a/gateway/rates_test.go
+++ b/gateway/rates_test.go
@@ -378,7 +378,7 @@
 	for _, r := range rates {
 		h.Add("Rate", r)
 	}
-	return attemptResult{placed: Placed{Target: &registry.Target{Entry: registry.Entry{ID: "t-0-0"}}},
+	return attemptResult{placed: Placement{Target: &registry.Target{Entry: registry.Entry{ID: "t-0-0"}}},
 		result: exchange.Result{Kind: kind, Answer: &exchange.Answer{Status: status, Header: h, Sealed: sealed}}}
 }
 
--- a/gateway/reuse.go
+++ b/gateway/reuse.go
@@ -6,123 +6,120 @@
 )
 
 const (
-	// reuseIdle is how long a connection may have been idle to carry a request where
-	// nothing speaks against it: as long as the target keeps it.
-	reuseIdle = time.Minute
-	// reuseShare is the part of the idle time at which a connection broke that others
-	// may still reach.
-	reuseShare = 0.6
-	// reuseMemory is how long a break is remembered. Opening connections anew costs
-	// less than a lost request, but not for ever.
-	reuseMemory = 8 * time.Second
-	// restedLeast is the idle time from which a connection counts as rested: a
-	// target that answered just before has not forgotten it.
-	restedLeast = 100 * time.Millisecond
-	// restedMemory is the time constant with which exchanges on rested connections
-	// are forgotten: targets may begin to drop connections at any time.
-	restedMemory = 15 * time.Second
-	// restedClasses is how many classes of idle times are counted; each spans a
-	// factor of two from restedLeast on.
-	restedClasses = 8
-	// priorStale is the part of rested connections that is taken to break until some
-	// were used, priorRested how many exchanges that guess counts for. The guess is
-	// about what a target that answered just before fails at once, so that a first
-	// break is put down to the connection, and one where targets are often sick to
-	// the target.
-	priorStale  = 0.02
-	priorRested = 10
-	// bearableStale is the part of rested connections that may break before those of
-	// the whole service are not used any more. A new connection costs about a twentieth
-	// of a request; twice that asks for more than one break, of which a target's bad
-	// time brings one.
-	bearableStale = 0.1
+	// defaultMaxIdle is the longest idle time of a reusable connection if no break was seen: as
+	// long as targets keep connections open.
+	defaultMaxIdle = time.Minute
+	// idleBoundFactor is the fraction of the idle time at which a connection broke that is still
+	// allowed.
+	idleBoundFactor = 0.6
+	// idleBoundDuration is how long a bound applies after a break. Opening connections costs less
+	// than a lost request, but the cost must not last for ever.
+	idleBoundDuration = 8 * time.Second
+	// minRestedIdle is the shortest idle time that counts as rested. A target that has just
+	// answered still has the connection.
+	minRestedIdle = 100 * time.Millisecond
+	// restedDecayTime is the time constant with which counts of rested connections decay. Targets
+	// may begin to drop connections at any time.
+	restedDecayTime = 15 * time.Second
+	// idleClasses is the number of idle-time classes. Each spans a factor of two, starting at
+	// minRestedIdle.
+	idleClasses = 8
+	// priorStaleShare is the assumed share of rested connections that break, and priorRestedCount
+	// the number of exchanges it weighs as. The share is about the rate at which a target that
+	// has just answered fails at once. So a first break is attributed to the connection, and a
+	// break where targets are often unhealthy to the target.
+	priorStaleShare  = 0.02
+	priorRestedCount = 10
+	// maxStaleShare is the share of rested connections that may break before the service stops
+	// using them. A new connection costs about a twentieth of a request. Twice that requires more
+	// than one break, since one unhealthy period of a target causes one.
+	maxStaleShare = 0.1
 )
 
-// reuse bounds the idle times of connections to a service's targets. Targets may forget
-// idle connections without a notice, and whatever is sent next on them is lost; where
-// some did, the others of the service are not trusted either for a while.
+// reuseStats limits the idle time of reused connections to a service's targets. Targets may drop
+// idle connections without notice, and a request sent on such a connection is lost.
 //
-// Where one connection broke, no rested one to its target is used for a while; where
-// several did, none to the service.
+// After one break the target's rested connections are not used for some time; after several
+// breaks, those of the whole service.
 //
-// A sick target resets requests too, on rested connections and on fresh ones. What
-// breaks while others that rested as long serve well is put down to its target.
-type reuse struct {
+// Unhealthy targets also reset requests, on rested and on new connections. A break is attributed
+// to the target if other connections with as long an idle time succeed.
+type reuseStats struct {
 	idleBound
-	// well counts the exchanges that went well by the class of the connection's idle
-	// time; broken counts the breaks, by the probability that they were stale.
-	well   [restedClasses]float64
-	broken float64
-	at     time.Time
+	// succeeded counts successful exchanges by idle-time class. broken counts breaks, each
+	// weighted by the probability that the connection was stale.
+	succeeded [idleClasses]float64
+	broken    float64
+	updatedAt time.Time
 }
 
-// class is the class of an idle time.
-func class(idle time.Duration) int {
-	x := math.Log2(float64(idle) / float64(restedLeast))
-	return min(max(int(x), 0), restedClasses-1)
+// idleClass returns the class of an idle time.
+func idleClass(idle time.Duration) int {
+	x := math.Log2(float64(idle) / float64(minRestedIdle))
+	return min(max(int(x), 0), idleClasses-1)
 }
 
-// forget fades what was counted by the time since the last call.
-func (r *reuse) forget(now time.Time) {
-	keep := math.Exp(-max(now.Sub(r.at), 0).Seconds() / restedMemory.Seconds())
-	r.at = now
-	r.broken *= keep
-	for i := range r.well {
-		r.well[i] *= keep
+// decay reduces the counts by the time since the last call.
+func (r *reuseStats) decay(now time.Time) {
+	factor := math.Exp(-max(now.Sub(r.updatedAt), 0).Seconds() / restedDecayTime.Seconds())
+	r.updatedAt = now
+	r.broken *= factor
+	for i := range r.succeeded {
+		r.succeeded[i] *= factor
 	}
 }
 
-// served notes that a connection carried an exchange well after it was idle.
-func (r *reuse) served(now time.Time, idle time.Duration) {
-	if idle < restedLeast {
+// recordSuccess records a successful exchange on a connection that had been idle.
+func (r *reuseStats) recordSuccess(now time.Time, idle time.Duration) {
+	if idle < minRestedIdle {
 		return
 	}
-	r.forget(now)
-	r.well[class(idle)]++
+	r.decay(now)
+	r.succeeded[idleClass(idle)]++
 }
 
-// stale is the part of the connections that rested for about as long that break.
-func (r *reuse) stale(idle time.Duration) float64 {
+// staleProbability estimates the share of connections with about this idle time that break.
+func (r *reuseStats) staleProbability(idle time.Duration) float64 {
 	n := 0.0
-	for i := class(time.Duration(reuseShare * float64(idle))); i < restedClasses; i++ {
-		n += r.well[i]
+	for i := idleClass(time.Duration(idleBoundFactor * float64(idle))); i < idleClasses; i++ {
+		n += r.succeeded[i]
 	}
-	return (priorStale*priorRested + r.broken) / (priorRested + r.broken + n)
+	return (priorStaleShare*priorRestedCount + r.broken) / (priorRestedCount + r.broken + n)
 }
 
-// broke notes a break that came at once on a connection that was idle, at a target that
-// fails a request like this at once with the given probability. Its weight is 1 for one
-// of this instance's own; a report of one of n other instances weighs 1/n, since they use
-// as many rested connections each, of which nothing is told.
-func (r *reuse) broke(now time.Time, idle time.Duration, targetFails, weight float64) {
-	r.forget(now)
-	s := r.stale(idle)
+// recordBreak records an immediate break on an idle connection. targetFails is the probability
+// that the target itself fails such a request at once. weight is 1 for an observation of this
+// instance and 1/n for a report of one of n other instances: they use as many rested connections
+// each, and report only the breaks.
+func (r *reuseStats) recordBreak(now time.Time, idle time.Duration, targetFails, weight float64) {
+	r.decay(now)
+	s := r.staleProbability(idle)
 	r.broken += weight * s / (s + (1-s)*targetFails)
-	if r.stale(idle) < bearableStale {
+	if r.staleProbability(idle) < maxStaleShare {
 		return
 	}
-	r.after(now, idle)
+	r.tighten(now, idle)
 }
 
-// idleBound bounds for a while how long connections may have been idle.
+// idleBound temporarily limits the idle time of reused connections.
 type idleBound struct {
 	bound time.Duration
 	until time.Time
 }
 
-// after sets the bound after a break of a connection that was idle for the given time.
-func (b *idleBound) after(now time.Time, idle time.Duration) {
-	bound := time.Duration(reuseShare * float64(idle))
+// tighten lowers the bound after a break of a connection with the given idle time.
+func (b *idleBound) tighten(now time.Time, idle time.Duration) {
+	bound := time.Duration(idleBoundFactor * float64(idle))
 	if now.Before(b.until) {
 		bound = min(bound, b.bound)
 	}
-	b.bound, b.until = bound, now.Add(reuseMemory)
+	b.bound, b.until = bound, now.Add(idleBoundDuration)
 }
 
-// most is how long a connection may have been idle.
-func (b *idleBound) most(now time.Time) time.Duration {
+// maxIdle returns the longest idle time of a reusable connection.
+func (b *idleBound) maxIdle(now time.Time) time.Duration {
 	if now.Before(b.until) {
-		return min(b.bound, reuseIdle)
+		return min(b.bound, defaultMaxIdle)
 	}
-	return reuseIdle
+	return defaultMaxIdle
 }
--- a/gateway/reuse_test.go
+++ b/gateway/reuse_test.go
@@ -13,37 +13,36 @@
 	"github.com/clementinereel/clementinereel/suspicion"
 )
 
-// forgetIdle is the idle time after which forgetful connections are reset by whatever
-// is sent next.
-const forgetIdle = 150 * time.Millisecond
+// dropAfterIdle is the idle time after which a droppingConn resets on the next data it receives.
+const dropAfterIdle = 150 * time.Millisecond
 
-type forgetfulListener struct{ net.Listener }
+type droppingListener struct{ net.Listener }
 
 // Accept implements net.Listener.
-func (l forgetfulListener) Accept() (net.Conn, error) {
+func (l droppingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &forgetfulConn{TCPConn: c.(*net.TCPConn)}, nil
+	return &droppingConn{TCPConn: c.(*net.TCPConn)}, nil
 }
 
-// forgetfulConn belongs to one goroutine of a server at a time.
-type forgetfulConn struct {
+// droppingConn is used by one server goroutine at a time.
+type droppingConn struct {
 	*net.TCPConn
-	wrote time.Time
+	lastWrite time.Time
 }
 
 // Write implements net.Conn.
-func (c *forgetfulConn) Write(b []byte) (int, error) {
-	c.wrote = time.Now()
+func (c *droppingConn) Write(b []byte) (int, error) {
+	c.lastWrite = time.Now()
 	return c.TCPConn.Write(b)
 }
 
 // Read implements net.Conn.
-func (c *forgetfulConn) Read(b []byte) (int, error) {
+func (c *droppingConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
-	if n > 0 && !c.wrote.IsZero() && time.Since(c.wrote) > forgetIdle {
+	if n > 0 && !c.lastWrite.IsZero() && time.Since(c.lastWrite) > dropAfterIdle {
 		_ = c.SetLinger(0)
 		_ = c.Close()
 		return 0, net.ErrClosed
@@ -51,15 +50,15 @@
 	return n, err
 }
 
-// TestConnectionsThatAreForgottenAreNotTrustedAgain lets targets drop idle connections
-// without a word: one request is lost to learn it, not every one.
-func TestConnectionsThatAreForgottenAreNotTrustedAgain(t *testing.T) {
+// Targets drop idle connections without notice. Only the first request may be lost, not one per
+// idle connection.
+func TestOnlyOneRequestIsLostToDroppedConnections(t *testing.T) {
 	b := new(backend)
 	b.Server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(headerNames.RequestID, r.Header.Get(headerNames.RequestID))
 		respondWith(http.StatusOK)(w, r)
 	}))
-	b.Listener = forgetfulListener{b.Listener}
+	b.Listener = droppingListener{b.Listener}
 	b.Start()
 	t.Cleanup(b.Close)
 	url := startGateway(t, b)
@@ -69,27 +68,27 @@
 		if status != http.StatusOK {
 			lost++
 		}
-		time.Sleep(2 * forgetIdle)
+		time.Sleep(2 * dropAfterIdle)
 	}
 	assert.Equal(t, lost, 1)
 }
 
-// soundFails is how often a target that answered just before fails at once.
-const soundFails = 0.01
+// healthyFailProbability is the probability that a target that has just answered fails at once.
+const healthyFailProbability = 0.01
 
-func TestTheBoundOfReuseIsForgotten(t *testing.T) {
+func TestIdleBoundExpires(t *testing.T) {
 	var b idleBound
-	assert.Equal(t, b.most(start), reuseIdle)
-	b.after(start, time.Second)
-	assert.Equal(t, b.most(start), 600*time.Millisecond)
-	b.after(start, 3*time.Second)
-	assert.Equal(t, b.most(start), 600*time.Millisecond, "the shortest counts")
-	assert.Equal(t, b.most(start.Add(reuseMemory)), reuseIdle)
+	assert.Equal(t, b.maxIdle(start), defaultMaxIdle)
+	b.tighten(start, time.Second)
+	assert.Equal(t, b.maxIdle(start), 600*time.Millisecond)
+	b.tighten(start, 3*time.Second)
+	assert.Equal(t, b.maxIdle(start), 600*time.Millisecond, "the lowest bound must apply")
+	assert.Equal(t, b.maxIdle(start.Add(idleBoundDuration)), defaultMaxIdle)
 }
 
-// Where targets forget connections, the second break bounds the reuse of all; a break
-// at a single one bounds only its target's.
-func TestBreaksBoundTheServiceTogether(t *testing.T) {
+// If targets drop idle connections, the second break limits reuse for the whole service. A break
+// at one target limits reuse for that target only.
+func TestBreaksAtTwoTargetsBoundTheService(t *testing.T) {
 	k := newKnowledge()
 	s := k.service("s")
 	for n, id := range []fleet.TargetID{"a", "b"} {
@@ -97,68 +96,67 @@
 		k.Observe(start, "s", id, suspicion.IdleReset, start, time.Second)
 		assert.Equal(t, k.maxIdle(start, s, id), 600*time.Millisecond)
 		others := k.maxIdle(start, s, "c")
-		assert.Equal(t, others, []time.Duration{reuseIdle, 600 * time.Millisecond}[n])
+		assert.Equal(t, others, []time.Duration{defaultMaxIdle, 600 * time.Millisecond}[n])
 	}
 }
 
-// Many connections rest well and some targets have bad times in which they reset all
-// that reaches them: the connections of the others stay in use.
-func TestResetsOfSickTargetsLeaveRestedConnectionsInUse(t *testing.T) {
-	const targetFails = 0.12 // a sixth of the time sick, then most work is reset
-	var r reuse
+// Some targets have unhealthy periods in which they reset every request, while most rested
+// connections work. Reuse of the other connections must not be limited.
+func TestResetsByUnhealthyTargetsDoNotBoundReuse(t *testing.T) {
+	const targetFails = 0.12 // unhealthy a sixth of the time, then most requests are reset
+	var r reuseStats
 	now := start
 	for n := range 60 {
 		now = now.Add(200 * time.Millisecond)
 		if n%15 == 14 {
-			r.broke(now, 500*time.Millisecond, targetFails, 1)
+			r.recordBreak(now, 500*time.Millisecond, targetFails, 1)
 			continue
 		}
-		r.served(now, 500*time.Millisecond)
-		assert.Equal(t, r.most(now), reuseIdle)
+		r.recordSuccess(now, 500*time.Millisecond)
+		assert.Equal(t, r.maxIdle(now), defaultMaxIdle)
 	}
 }
 
-// Breaks after a longer rest than any that went well say that connections are
-// forgotten, also where targets fail now and then.
-func TestBreaksAfterALongerRestAreStale(t *testing.T) {
-	var r reuse
+// Breaks after longer idle times than any that succeeded indicate dropped connections, even if
+// targets fail occasionally.
+func TestBreaksAfterLongerIdleTimesBoundReuse(t *testing.T) {
+	var r reuseStats
 	for range 20 {
-		r.served(start, 200*time.Millisecond)
+		r.recordSuccess(start, 200*time.Millisecond)
 	}
 	for range 2 {
-		r.broke(start, 3*time.Second, soundFails, 1)
+		r.recordBreak(start, 3*time.Second, healthyFailProbability, 1)
 	}
-	assert.Equal(t, r.most(start), 1800*time.Millisecond)
+	assert.Equal(t, r.maxIdle(start), 1800*time.Millisecond)
 }
 
-// Targets begin to forget connections: what rested well before does not hide it for
-// long.
-func TestForgettingThatBeginsLateIsFound(t *testing.T) {
-	var r reuse
+// Targets start to drop idle connections. Earlier successes must not hide this for long.
+func TestLateConnectionDroppingIsDetected(t *testing.T) {
+	var r reuseStats
 	for range 20 {
-		r.served(start, 500*time.Millisecond)
+		r.recordSuccess(start, 500*time.Millisecond)
 	}
 	breaks := 0
-	for ; r.most(start) == reuseIdle; breaks++ {
-		r.broke(start, 500*time.Millisecond, soundFails, 1)
+	for ; r.maxIdle(start) == defaultMaxIdle; breaks++ {
+		r.recordBreak(start, 500*time.Millisecond, healthyFailProbability, 1)
 	}
-	assert.Assert(t, breaks <= 5, "%d breaks until it was found", breaks)
+	assert.Assert(t, breaks <= 5, "%d breaks until reuse was limited", breaks)
 }
 
-// Reports of a few instances do not outweigh that connections serve here; reports of
-// most do.
-func TestReportsOfStaleConnectionsAreWeighedAgainstOwnOnes(t *testing.T) {
+// Reports from a few instances must not outweigh successful reuse on this instance; reports from
+// most instances must.
+func TestPeerReportsOfStaleConnectionsAreWeighted(t *testing.T) {
 	const others = 40
-	var r reuse
+	var r reuseStats
 	for range 20 {
-		r.served(start, time.Second)
+		r.recordSuccess(start, time.Second)
 	}
 	for range others / 4 {
-		r.broke(start, time.Second, soundFails, 1.0/others)
+		r.recordBreak(start, time.Second, healthyFailProbability, 1.0/others)
 	}
-	assert.Equal(t, r.most(start), reuseIdle)
+	assert.Equal(t, r.maxIdle(start), defaultMaxIdle)
 	for range 4 * others {
-		r.broke(start, time.Second, soundFails, 1.0/others)
+		r.recordBreak(start, time.Second, healthyFailProbability, 1.0/others)
 	}
-	assert.Equal(t, r.most(start), 600*time.Millisecond)
+	assert.Equal(t, r.maxIdle(start), 600*time.Millisecond)
 }
