--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -83,7 +83,7 @@
 	g.contents = quarantine.New(logStandingChange)
 	g.poison = poison.New()
 	g.state = statesync.NewState(uint64(g.booted.UnixNano()), g.announceVersions)
-	g.state.LeaveWithin(s.RemovalTimeout)
+	g.state.SetRemovalBound(s.RemovalTimeout)
 	g.state.OnRestart(func(ids []fleet.TargetID) { g.knowledge.ResetRestarted(time.Now(), ids) })
 	g.client = &exchange.Client{Cache: exchange.NewCache(dialTimeout), Headers: s.Headers, MaxAnswer: maxResponseBytes, OnHead: g.handleResponseHeader, Admit: g.admits}
 	if err := g.listen(); err != nil {
--- a/statesync/exploration_test.go
+++ b/statesync/exploration_test.go
@@ -14,11 +14,11 @@
 	"github.com/clementinereel/clementinereel/registry"
 )
 
-// writer is a target as it knows itself.
+// writer is a target's own state, which it writes to the store.
 type writer struct {
 	sequence int64
 	leaving  bool
-	gone     bool
+	removed  bool
 }
 
 // logRecord is a record of the store's log of targets; entry is nil for a removal.
@@ -27,65 +27,67 @@
 	entry *registry.Entry
 }
 
-// world is a store with its writers and instances that follow it, with answers on their way.
+// world simulates a store, its writers, the instances that follow it, and responses in flight.
 type world struct {
 	t       *rapid.T
 	now     time.Time
 	epoch   registry.Epoch
 	targets []logRecord
-	// documents are the versions that the store holds; version is the last that was written.
+	// documents are the versions in the store; version is the last one written.
 	documents []document.Version
 	version   document.Version
 	writers   []*writer
-	instances []*instanceState
-	late      []func()
+	instances []*modelInstance
+	pending   []func()
 }
 
-// instanceState is an instance and what it has shown.
-type instanceState struct {
+// modelInstance is an instance with what check has seen of it.
+type modelInstance struct {
 	*State
-	// version is the highest document that was in force, used the sequences of the targets that
-	// were, and missed those of which it knew the last word, that they have left.
-	version document.Version
-	used    map[fleet.TargetID]int64
-	missed  map[fleet.TargetID]bool
+	// maxVersion is the highest document version that was applied.
+	maxVersion document.Version
+	// usedSequences are the last sequences seen in use, by target.
+	usedSequences map[fleet.TargetID]int64
+	// knownLeft are targets whose last entry or leaving notice the instance has received.
+	knownLeft map[fleet.TargetID]bool
 }
 
 func idOf(n int) fleet.TargetID { return fleet.TargetID(fmt.Sprint("t", n)) }
 
-func (w *world) freshInstance() *instanceState {
+func (w *world) freshInstance() *modelInstance {
 	s := NewState(0, nil)
 	s.clock = func() time.Time { return w.now }
-	return &instanceState{State: s, used: make(map[fleet.TargetID]int64), missed: make(map[fleet.TargetID]bool)}
+	return &modelInstance{State: s, usedSequences: make(map[fleet.TargetID]int64), knownLeft: make(map[fleet.TargetID]bool)}
 }
 
-// write appends a target's entry as it is.
+// write appends a target's entry with the next sequence.
 func (w *world) write(n int) {
 	x := w.writers[n]
 	x.sequence++
 	w.rewrite(n)
 }
 
-// rewrite appends a target's entry again.
+// rewrite appends a target's entry with the same sequence, or its removal.
 func (w *world) rewrite(n int) {
 	x := w.writers[n]
-	if x.gone {
+	if x.removed {
 		w.targets = append(w.targets, logRecord{idOf(n), nil})
 		return
 	}
 	w.targets = append(w.targets, logRecord{idOf(n), &registry.Entry{ID: idOf(n), Service: "s", Sequence: x.sequence, Leaving: x.leaving}})
 }
 
+// join adds a target.
 func (w *world) join() {
 	w.writers = append(w.writers, new(writer))
 	w.write(len(w.writers) - 1)
 }
 
-// pick draws a target that has not gone; it returns false if there is none.
-func (w *world) pick() (int, bool) {
+// pickTarget draws a target that is not removed; it returns false if there is none.
+func (w *world) pickTarget() (int, bool) {
 	var left []int
 	for n, x := range w.writers {
-		if !x.gone {
+		if !x.removed {
 			left = append(left, n)
 		}
 	}
@@ -96,54 +98,56 @@
 }
 
 func (w *world) renew() {
-	if n, ok := w.pick(); ok {
+	if n, ok := w.pickTarget(); ok {
 		w.write(n)
 	}
 }
 
 func (w *world) leave() {
-	if n, ok := w.pick(); ok {
+	if n, ok := w.pickTarget(); ok {
 		w.writers[n].leaving = true
 		w.write(n)
 	}
 }
 
+// vanish removes a target's entry without a leaving notice.
 func (w *world) vanish() {
-	if n, ok := w.pick(); ok {
-		w.writers[n].gone = true
+	if n, ok := w.pickTarget(); ok {
+		w.writers[n].removed = true
 		w.rewrite(n)
 	}
 }
 
+// configure writes a new document.
 func (w *world) configure() {
 	w.version++
 	w.documents = append(w.documents, w.version)
 }
 
-// restore brings the store back from an older copy.
+// restore restores the store from an older copy.
 func (w *world) restore() {
 	w.epoch++
 	w.targets = w.targets[:rapid.IntRange(max(len(w.targets)-6, 0), len(w.targets)).Draw(w.t, "kept")]
 	w.documents = w.documents[:rapid.IntRange(max(len(w.documents)-2, 0), len(w.documents)).Draw(w.t, "documents")]
 }
 
-// end is the position behind the store's last record.
+// end returns the position after the last record of targets.
 func (w *world) end() registry.Position {
 	return registry.Position{Epoch: w.epoch, Offset: registry.Offset(len(w.targets))}
 }
 
-// lapse lets the store drop the entries of targets that are gone.
-func (w *world) lapse() {
-	newest := w.newest()
+// expireEntries removes the entries of removed targets from the store.
+func (w *world) expireEntries() {
+	newest := w.newestEntries()
 	for n, x := range w.writers {
-		if x.gone && newest[idOf(n)] != nil {
+		if x.removed && newest[idOf(n)] != nil {
 			w.rewrite(n)
 		}
 	}
 }
 
-// newest are the store's entries; nil for one that was removed.
-func (w *world) newest() map[fleet.TargetID]*registry.Entry {
+// newestEntries returns the store's entries; nil for one that was removed.
+func (w *world) newestEntries() map[fleet.TargetID]*registry.Entry {
 	newest := make(map[fleet.TargetID]*registry.Entry)
 	for _, r := range w.targets {
 		newest[r.id] = r.entry
@@ -151,54 +155,55 @@
 	return newest
 }
 
-// pass lets so much time pass that nothing is kept on trust or doubted any more: no answer is
-// late by as much, and all instances have read what the store has.
-func (w *world) pass() {
-	w.late = nil
-	w.lapse()
+// advanceTime advances the clock beyond all grace periods and the retention of unconfirmed
+// targets. Pending responses are lost, as none is that late, and all instances first read
+// everything in the store.
+func (w *world) advanceTime() {
+	w.pending = nil
+	w.expireEntries()
 	w.sync()
 	const long = time.Minute
 	w.now = w.now.Add(long)
 	for _, in := range w.instances {
-		in.tick(w.now, contact{})
+		in.tick(w.now, storeStatus{})
 	}
 }
 
-// repeat lets one writer write again what the store may have lost.
-func (w *world) repeat() {
-	if n, ok := w.pick(); ok {
+// rewriteOne lets one writer rewrite an entry that the store may have lost.
+func (w *world) rewriteOne() {
+	if n, ok := w.pickTarget(); ok {
 		w.rewrite(n)
 	}
 }
 
-func (w *world) instance() *instanceState {
+func (w *world) pickInstance() *modelInstance {
 	return rapid.SampledFrom(w.instances).Draw(w.t, "instance")
 }
 
-// deliver applies an answer now or later.
-func (w *world) deliver(answer func()) {
+// deliverNowOrLater applies a response at once, or adds it to the pending ones.
+func (w *world) deliverNowOrLater(apply func()) {
 	if rapid.IntRange(0, 3).Draw(w.t, "late") == 0 {
-		w.late = append(w.late, answer)
+		w.pending = append(w.pending, apply)
 		return
 	}
-	answer()
+	apply()
 }
 
-// arrive lets a late answer arrive, in any order, or be lost.
-func (w *world) arrive() {
-	if len(w.late) == 0 {
+// deliverPending delivers or drops any of the pending responses.
+func (w *world) deliverPending() {
+	if len(w.pending) == 0 {
 		return
 	}
-	n := rapid.IntRange(0, len(w.late)-1).Draw(w.t, "answer")
-	answer := w.late[n]
-	w.late = append(w.late[:n], w.late[n+1:]...)
+	n := rapid.IntRange(0, len(w.pending)-1).Draw(w.t, "answer")
+	apply := w.pending[n]
+	w.pending = append(w.pending[:n], w.pending[n+1:]...)
 	if rapid.Bool().Draw(w.t, "lost") {
 		return
 	}
-	answer()
+	apply()
 }
 
-// snapshotOf is the newest record of each key.
+// snapshotOf returns the newest record of each key.
 func (w *world) snapshotOf(stream Stream) Batch {
 	b := Batch{Next: registry.Offset(len(w.targets)), Epoch: w.epoch}
 	if stream == Documents {
@@ -208,7 +213,7 @@
 		}
 		return b
 	}
-	for id, e := range w.newest() {
+	for id, e := range w.newestEntries() {
 		if e != nil {
 			b.Records = append(b.Records, Record{ID: id, Entry: e})
 		}
@@ -216,10 +221,10 @@
 	return b
 }
 
-// changesOf are the changes from an offset on, a few at most.
-func (w *world) changesOf(stream Stream, from, most int) Batch {
+// changesOf returns the changes from an offset on, up to a limit.
+func (w *world) changesOf(stream Stream, from, limit int) Batch {
 	b := Batch{Next: registry.Offset(from), Epoch: w.epoch}
-	for o := from; o < min(from+most, max(len(w.targets), len(w.documents))); o++ {
+	for o := from; o < min(from+limit, max(len(w.targets), len(w.documents))); o++ {
 		switch {
 		case stream == Documents && o < len(w.documents):
 			b.Records = append(b.Records, Record{Offset: registry.Offset(o), Document: documentOf(w.documents[o])})
@@ -231,8 +236,8 @@
 	return b
 }
 
-// read lets an instance ask the store for a stream, as Follower.step does.
-func (w *world) read(in *instanceState, stream Stream, most int, deliver func(func())) {
+// read lets an instance read a stream from the store, as Follower.step does.
+func (w *world) read(in *modelInstance, stream Stream, limit int, deliver func(func())) {
 	next := in.next(stream)
 	end := len(w.targets)
 	if stream == Documents {
@@ -243,70 +248,71 @@
 		deliver(func() { in.applySnapshot(stream, b, "store") })
 		return
 	}
-	b := w.changesOf(stream, int(next.Offset), most)
+	b := w.changesOf(stream, int(next.Offset), limit)
 	deliver(func() { in.applyBatch(stream, b, "store") })
 }
 
-// sync lets all instances read all that the store has.
+// sync lets all instances read everything in the store.
 func (w *world) sync() {
-	now := func(answer func()) { answer() }
+	now := func(apply func()) { apply() }
 	for _, in := range w.instances {
 		w.read(in, Documents, math.MaxInt32, now)
 		w.read(in, Targets, math.MaxInt32, now)
 	}
 }
 
-// pull lets an instance ask a peer.
-func (w *world) pull(in, peer *instanceState, deliver func(func())) {
+// pull lets an instance pull from a peer.
+func (w *world) pull(in, peer *modelInstance, deliver func(func())) {
 	version, position := in.Versions()
-	r := request{document: version, registry: position, all: in.asksPeers()}
+	r := request{document: version, registry: position, all: in.needsPeerState()}
 	whole := peer.whole(r)
 	deliver(func() { in.applyWhole(whole, "peer", r.all) })
 }
 
-// check compares what each instance shows with what it has shown.
+// check fails if an instance has gone back to an older document or uses a target again that it
+// knows to be removed.
 func (w *world) check() {
 	for i, in := range w.instances {
 		version, _ := in.Versions()
-		if version < in.version {
-			w.t.Fatalf("instance %d went back from document %d to %d", i, in.version, version)
+		if version < in.maxVersion {
+			w.t.Fatalf("instance %d went back from document %d to %d", i, in.maxVersion, version)
 		}
-		in.version = version
+		in.maxVersion = version
 		for n, x := range w.writers {
 			w.checkTarget(i, in, idOf(n), x)
 		}
 	}
 }
 
-// checkTarget checks that an instance that knew that a target has left does not use it again. One that
-// never heard of the target's last entry, or of its notice, may: nothing that it knows speaks
-// against an entry with a higher sequence.
-func (w *world) checkTarget(i int, in *instanceState, id fleet.TargetID, x *writer) {
+// checkTarget checks that an instance does not use a target again that it knows to have left.
+// An instance that received neither the target's last entry nor its leaving notice may use it
+// again: to that instance, an entry with a higher sequence is valid.
+func (w *world) checkTarget(i int, in *modelInstance, id fleet.TargetID, x *writer) {
 	if t := in.Targets().Target(id); t != nil {
-		if in.missed[id] {
-			w.t.Fatalf("instance %d uses %s again, which has left", i, id)
+		if in.knownLeft[id] {
+			w.t.Fatalf("instance %d uses %s again, which it knows to have left", i, id)
 		}
-		in.used[id] = t.Sequence
+		in.usedSequences[id] = t.Sequence
 		return
 	}
-	if in.next(Targets) != w.end() || in.used[id] == 0 {
+	if in.next(Targets) != w.end() || in.usedSequences[id] == 0 {
 		return
 	}
-	newest := w.newest()[id]
-	heardNotice := newest != nil && newest.Leaving
-	heardLast := x.gone && in.used[id] == x.sequence
-	in.missed[id] = in.missed[id] || heardNotice || heardLast
+	newest := w.newestEntries()[id]
+	receivedNotice := newest != nil && newest.Leaving
+	receivedLast := x.removed && in.usedSequences[id] == x.sequence
+	in.knownLeft[id] = in.knownLeft[id] || receivedNotice || receivedLast
 }
 
-// settle lets the writers write again what the store lost, the store drop the entries of those that
-// are gone, and all instances read and ask each other until nothing is new.
+// settle lets the writers rewrite what the store lost, removes the entries of removed targets,
+// lets all instances read and pull from each other, and checks that they have converged.
 func (w *world) settle() {
-	w.late = nil
-	now := func(answer func()) { answer() }
-	newest := w.newest()
+	w.pending = nil
+	now := func(apply func()) { apply() }
+	newest := w.newestEntries()
 	for n, x := range w.writers {
 		e := newest[idOf(n)]
-		if kept := e != nil && e.Sequence == x.sequence && !x.gone; !kept && (e != nil || !x.gone) {
+		if kept := e != nil && e.Sequence == x.sequence && !x.removed; !kept && (e != nil || !x.removed) {
 			w.rewrite(n)
 		}
 	}
@@ -320,32 +326,32 @@
 		}
 	}
 	w.check()
-	w.pass()
+	w.advanceTime()
 	for i, in := range w.instances {
 		version, _ := in.Versions()
 		if version != w.version {
-			w.t.Fatalf("instance %d has document %d, %d was written last", i, version, w.version)
+			w.t.Fatalf("instance %d has document %d, but %d was written last", i, version, w.version)
 		}
 		for n, x := range w.writers {
-			if wants := !x.leaving && !x.gone; wants != (in.Targets().Target(idOf(n)) != nil) {
-				w.t.Fatalf("instance %d: %s in use: %v, by its last word: %v", i, idOf(n), !wants, wants)
+			if wants := !x.leaving && !x.removed; wants != (in.Targets().Target(idOf(n)) != nil) {
+				w.t.Fatalf("instance %d: target %s in use: %v, want %v", i, idOf(n), !wants, wants)
 			}
 		}
 	}
 }
 
-// TestInstancesComeToWhatTheWritersLastWrote explores writes, restores, late and lost answers,
-// pulls between peers and processes that start anew. Throughout, a document in force goes back
-// at no instance, and a target that has left is not used again by one that had dropped it; once all
-// is quiet, all instances have what the writers last wrote.
-func TestInstancesComeToWhatTheWritersLastWrote(t *testing.T) {
+// TestInstancesConvergeToLastWrites explores writes, restores, late and lost responses, pulls
+// between peers and restarts of instances. No instance may go back to an older document or use a
+// target again after it has dropped it as left; once all pending work is done, all instances have
+// what the writers wrote last.
+func TestInstancesConvergeToLastWrites(t *testing.T) {
 	for range *explorations {
 		explore(t)
 	}
 }
 
-// explorations is raised for long runs by hand.
-var explorations = flag.Int("statesync.explorations", 30, "how often to explore a hundred series")
+// explorations can be raised for long manual runs.
+var explorations = flag.Int("statesync.explorations", 30, "number of rapid checks to run, of 100 series each")
 
 func explore(t *testing.T) {
 	const instances = 3
@@ -366,18 +372,18 @@
 			"vanish":    func(*rapid.T) { w.vanish() },
 			"configure": func(*rapid.T) { w.configure() },
 			"restore":   func(*rapid.T) { w.restore() },
-			"repeat":    func(*rapid.T) { w.repeat() },
+			"repeat":    func(*rapid.T) { w.rewriteOne() },
 			"sync":      func(*rapid.T) { w.sync() },
-			"pass":      func(*rapid.T) { w.pass() },
-			"arrive":    func(*rapid.T) { w.arrive() },
+			"pass":      func(*rapid.T) { w.advanceTime() },
+			"arrive":    func(*rapid.T) { w.deliverPending() },
 			"start":     func(*rapid.T) { w.instances[rapid.IntRange(0, instances-1).Draw(rt, "started")] = w.freshInstance() },
 			"read": func(*rapid.T) {
 				stream := rapid.SampledFrom([]Stream{Documents, Targets}).Draw(rt, "stream")
-				w.read(w.instance(), stream, rapid.IntRange(1, 4).Draw(rt, "changes"), w.deliver)
+				w.read(w.pickInstance(), stream, rapid.IntRange(1, 4).Draw(rt, "changes"), w.deliverNowOrLater)
 			},
 			"pull": func(*rapid.T) {
-				if in, peer := w.instance(), w.instance(); in != peer {
-					w.pull(in, peer, w.deliver)
+				if in, peer := w.pickInstance(), w.pickInstance(); in != peer {
+					w.pull(in, peer, w.deliverNowOrLater)
 				}
 			},
 			"": func(*rapid.T) { w.check() },
--- a/statesync/follower.go
+++ b/statesync/follower.go
@@ -214,7 +214,7 @@
 
 // Tick ends what is over by time, after what is known of the other instances.
 func (f *Follower) Tick(now time.Time, v mesh.View) {
-	f.o.State.tick(now, contact{away: f.away(v), answered: answeredOthers(v)})
+	f.o.State.tick(now, storeStatus{unavailable: f.away(v), answeredSpans: answeredOthers(v)})
 }
 
 // answeredOthers are the times in which other instances had answers of the store's log, by what
@@ -481,7 +481,7 @@
 	}
 	span := registry.Span{From: f.answering, Until: now}
 	f.mu.Unlock()
-	f.o.State.answered(span)
+	f.o.State.recordAnswered(span)
 }
 
 // hang remembers how the stream's read is ended; end is nil once it has ended.
--- a/statesync/path_model_test.go
+++ b/statesync/path_model_test.go
@@ -278,7 +278,7 @@
 	m.calmFrom = time.Now()
 	m.mu.Unlock()
 	m.state = NewState(1, m.announce)
-	m.state.LeaveWithin(m.fleet.bound)
+	m.state.SetRemovalBound(m.fleet.bound)
 	m.follower = NewFollower(Options{
 		State: m.state, Store: m.store, Peers: m.view, Self: m.addr, Zone: m.zone, Know: func([]string) {}, Tell: m.announce,
 	})
--- a/statesync/pull.go
+++ b/statesync/pull.go
@@ -44,7 +44,7 @@
 // answer soon. It tells false if none did, and true if no peer is ahead.
 func (f *Follower) pullOnce(ctx context.Context) bool {
 	version, position := f.o.State.Versions()
-	r := request{document: version, registry: position, all: f.o.State.asksPeers()}
+	r := request{document: version, registry: position, all: f.o.State.needsPeerState()}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	done := make(chan bool, pullMost)
@@ -78,7 +78,7 @@
 	}
 	if err != nil {
 		eventlog.Error(eventlog.PullFailed, err, "peer", m.Addr, "document", r.document, "theirs", m.Document, "epoch", r.registry.Epoch, "registry", r.registry.Offset,
-			"their_epoch", m.Registry.Epoch, "their_registry", m.Registry.Offset, "behind_ms", f.o.State.behind().Milliseconds(), "took_ms", time.Since(began).Milliseconds())
+			"their_epoch", m.Registry.Epoch, "their_registry", m.Registry.Offset, "behind_ms", f.o.State.lag().Milliseconds(), "took_ms", time.Since(began).Milliseconds())
 		return false
 	}
 	f.o.State.applyWhole(w, m.Addr, r.all)
--- a/statesync/state.go
+++ b/statesync/state.go
@@ -12,8 +12,8 @@
 	"github.com/clementinereel/clementinereel/registry"
 )
 
-// State is the configuration and the targets in force. It is safe for concurrent
-// use; Table and Targets do not wait.
+// State holds the current configuration and targets. It is safe for concurrent
+// use; Table and Targets do not block.
 type State struct {
 	seed     uint64
 	clock    func() time.Time
@@ -27,45 +27,45 @@
 
 	mu       sync.Mutex
 	registry *registry.Registry
-	// nextDocument is the position to read Documents from; that of Targets is the
-	// registry's.
+	// nextDocument is the position to read Documents from. The registry holds that of
+	// Targets.
 	nextDocument registry.Position
-	// alone tells that the targets are known from the store alone, or not at all: peers may
-	// know more than a copy from which the store was restored.
-	alone bool
-	// restores counts how often the store was restored, kept the targets that were then kept
-	// on trust.
-	restores, kept int64
-	// moved tells that a later epoch was learned of since it was last false.
-	moved bool
-	// behindSince is when a peer first told of a newer document than the one in force;
+	// storeOnly is true until a peer has sent all of its targets, at the start and after a new
+	// epoch was read from the store: its copy may be older than what peers have.
+	storeOnly bool
+	// restores counts restores of the store, and unconfirmed the targets that were kept then
+	// although the copy lacked them.
+	restores, unconfirmed int64
+	// epochAdvanced is true if the epoch has advanced since onRestore was last called.
+	epochAdvanced bool
+	// behindSince is when a peer first reported a newer document than the current one;
 	// zero if none did.
 	behindSince time.Time
 }
 
-// NewState returns an empty state. OnChange is called after each change.
+// NewState returns an empty state. onChange is called after each change; it may be nil.
 func NewState(seed uint64, onChange func()) *State {
-	s := &State{seed: seed, clock: time.Now, onChange: onChange, registry: registry.New(), alone: true}
+	s := &State{seed: seed, clock: time.Now, onChange: onChange, registry: registry.New(), storeOnly: true}
 	s.targets.Store(s.registry.View())
 	return s
 }
 
-// OnRestart sets what is called with targets that have started again under their ID. It
-// must be set before the state is in use.
+// OnRestart sets the callback for targets that have restarted under the same ID. It must
+// be set before the state is in use.
 func (s *State) OnRestart(f func([]fleet.TargetID)) { s.onRestart = f }
 
-// OnRestore sets what is called when a later epoch of the store was learned of. It must be set
-// before the state is in use.
+// OnRestore sets the callback for a later epoch of the store. It must be set before the
+// state is in use.
 func (s *State) OnRestore(f func()) { s.onRestore = f }
 
-// LeaveWithin sets within which time a target that has gone must get no more work.
-func (s *State) LeaveWithin(bound time.Duration) {
+// SetRemovalBound sets the time within which a removed target must stop getting requests.
+func (s *State) SetRemovalBound(bound time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.registry.SetRemovalBound(bound)
 }
 
-// Table returns the document in force, or nil if none is known yet.
+// Table returns the current document, or nil if there is none yet.
 func (s *State) Table() *document.Table { return s.table.Load() }
 
 // Targets returns the targets in use.
@@ -78,8 +78,8 @@
 	return s.version(), s.registry.Next()
 }
 
-// Behind tells whether a peer's versions are ahead, or the peer may know more than the store,
-// and remembers since when one has a newer document.
+// Behind reports whether a peer with the given versions is ahead, or may have more than the
+// store, and records when a peer first had a newer document.
 func (s *State) Behind(now time.Time, v document.Version, p registry.Position) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,17 +87,18 @@
 	if newer && s.behindSince.IsZero() {
 		s.behindSince = now
 	}
-	return newer || s.alone || p.After(s.registry.Next())
+	return newer || s.storeOnly || p.After(s.registry.Next())
 }
 
-// behind is for how long peers have had a newer document; 0 if none has.
-func (s *State) behind() time.Duration {
+// lag returns how long peers have had a newer document; 0 if none has.
+func (s *State) lag() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lag()
+	return s.lagLocked()
 }
 
-func (s *State) lag() time.Duration {
+// lagLocked is lag for callers that hold s.mu.
+func (s *State) lagLocked() time.Duration {
 	if s.behindSince.IsZero() {
 		return 0
 	}
@@ -111,7 +112,7 @@
 	return 0
 }
 
-// next is the position from which the stream is to be read.
+// next returns the position to read the stream from.
 func (s *State) next(stream Stream) registry.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,31 +122,32 @@
 	return s.nextDocument
 }
 
-// epoch is the latest epoch of the store that is known.
+// epoch returns the latest known epoch of the store.
 func (s *State) epoch() registry.Epoch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return max(s.registry.Next().Epoch, s.nextDocument.Epoch)
 }
 
-// asksPeers tells whether peers may know more than the store.
-func (s *State) asksPeers() bool {
+// needsPeerState reports whether peers may have targets that the store lacks, so that one
+// must be asked for all of its targets.
+func (s *State) needsPeerState() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.alone
+	return s.storeOnly
 }
 
-// after is the position after a batch's records. A store that tells no epoch is in the one
-// that is known.
+// after returns the position after the batch's records. A batch without an epoch counts as
+// one of the known epoch.
 func (b *Batch) after(known registry.Epoch) registry.Position {
 	return registry.Position{Epoch: cmp.Or(b.Epoch, known), Offset: b.Next}
 }
 
-// earlierThan tells whether the batch is of an epoch before the given one.
+// earlierThan reports whether the batch is of an epoch before the given one.
 func (b *Batch) earlierThan(known registry.Epoch) bool { return b.Epoch != 0 && b.Epoch < known }
 
-// applyDocument takes a document into force if it is newer. From names its
-// source in the log.
+// applyDocument applies a document if it is newer, and reports whether it did. from names
+// the source in the log.
 func (s *State) applyDocument(d *document.Document, from string) bool {
 	if d.Version <= s.version() {
 		return false
@@ -155,55 +157,57 @@
 		return false
 	}
 	eventlog.Info(eventlog.DocumentApplied, "version", d.Version, "before", s.version(), "from", from,
-		"behind_ms", s.lag().Milliseconds(), "routes", len(d.Routes), "idle_ms", d.Limits.IdleTimeout.Milliseconds())
+		"behind_ms", s.lagLocked().Milliseconds(), "routes", len(d.Routes), "idle_ms", d.Limits.IdleTimeout.Milliseconds())
 	s.behindSince = time.Time{}
 	s.table.Store(document.NewTable(d, s.seed))
 	return true
 }
 
-// applySnapshot takes in the store's whole state of a stream.
+// applySnapshot applies a snapshot of a stream from the store.
 func (s *State) applySnapshot(stream Stream, b Batch, from string) {
 	s.mu.Lock()
 	changed := false
 	switch stream {
 	case Documents:
 		for _, r := range b.Records {
-			changed = s.applyRecordDocument(r, from) || changed
+			changed = s.applyDocumentRecord(r, from) || changed
 		}
-		s.moved = s.moved || b.Epoch > s.nextDocument.Epoch
+		s.epochAdvanced = s.epochAdvanced || b.Epoch > s.nextDocument.Epoch
 		s.nextDocument = registry.Later(s.nextDocument, b.after(s.nextDocument.Epoch))
 	case Targets:
 		before := s.registry.Next()
 		changed = s.registry.Replace(s.clock(), registry.Snapshot{Next: b.after(before.Epoch), Entries: s.entriesOf(b.Records)})
-		s.alone = s.alone || s.registry.Next().Epoch != before.Epoch
-		s.noteRestore(from)
+		s.storeOnly = s.storeOnly || s.registry.Next().Epoch != before.Epoch
+		s.recordRestore(from)
 		s.publish(from)
 	}
 	s.mu.Unlock()
-	s.changed(changed)
+	s.notifyChanges(changed)
 }
 
-// noteRestore logs and counts a restore of the store that the registry has just taken in.
-func (s *State) noteRestore(from string) {
+// recordRestore logs and counts a restore of the store that the registry has just applied.
+func (s *State) recordRestore(from string) {
 	r := s.registry.TakeRestored()
 	if r == nil {
 		return
 	}
 	s.restores++
-	s.kept += int64(r.Kept)
-	s.moved = true
+	s.unconfirmed += int64(r.Kept)
+	s.epochAdvanced = true
 	eventlog.Info(eventlog.StoreRestored, "epoch", r.To.Epoch, "offset", r.To.Offset, "epoch_before", r.From.Epoch, "offset_before", r.From.Offset,
 		"kept_on_trust", r.Kept, "outdated", r.Outdated, "trust_ms", r.Until.Sub(s.clock()).Milliseconds(), "document", s.version(), "from", from)
 }
 
-// Restores is how often the store was restored from an older copy, and how many targets were kept
-// in use then though the copy lacked them.
+// Restores returns how often the store was restored from an older copy, and how many targets
+// stayed in use although the copy lacked them.
 func (s *State) Restores() (restores, kept int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.restores, s.kept
+	return s.restores, s.unconfirmed
 }
 
+// entriesOf returns the entries of the records. Records that could not be decoded are logged
+// and skipped.
 func (s *State) entriesOf(records []Record) []registry.Entry {
 	var entries []registry.Entry
 	for _, r := range records {
@@ -218,40 +222,40 @@
 	return entries
 }
 
-// applyBatch takes in changes of a stream. Those of another epoch than the one that is known
-// are passed over: an answer of an earlier one may come late, and those of a later one follow
-// what is not known yet.
+// applyBatch applies changes of a stream. Batches of another epoch are ignored: one of an
+// earlier epoch is a late response, and changes of a later epoch build on records that are
+// not yet available here.
 func (s *State) applyBatch(stream Stream, b Batch, from string) {
 	s.mu.Lock()
-	if known := s.knownEpoch(stream); b.Epoch != 0 && b.Epoch != known {
+	if known := s.streamEpoch(stream); b.Epoch != 0 && b.Epoch != known {
 		s.mu.Unlock()
 		return
 	}
 	changed := false
 	for _, r := range b.Records {
 		if stream == Documents {
-			changed = s.applyRecordDocument(r, from) || changed
+			changed = s.applyDocumentRecord(r, from) || changed
 			continue
 		}
-		changed = s.applyRecordTarget(r, b.Age) || changed
+		changed = s.applyTargetRecord(r, b.Age) || changed
 	}
 	if stream == Documents {
 		s.nextDocument = registry.Later(s.nextDocument, b.after(s.nextDocument.Epoch))
 	}
 	s.publish(from)
 	s.mu.Unlock()
-	s.changed(changed)
+	s.notifyChanges(changed)
 }
 
-// knownEpoch is the epoch of the stream's position; the lock is held.
-func (s *State) knownEpoch(stream Stream) registry.Epoch {
+// streamEpoch returns the epoch of the stream's position. The caller holds s.mu.
+func (s *State) streamEpoch(stream Stream) registry.Epoch {
 	if stream == Targets {
 		return s.registry.Next().Epoch
 	}
 	return s.nextDocument.Epoch
 }
 
-func (s *State) applyRecordDocument(r Record, from string) bool {
+func (s *State) applyDocumentRecord(r Record, from string) bool {
 	if r.Err != nil {
 		s.refusals.note(eventlog.DocumentRefused, Documents, string(r.ID), r.Offset, r.Err)
 		return false
@@ -259,10 +263,10 @@
 	return r.Document != nil && s.applyDocument(r.Document, from)
 }
 
-// applyRecordTarget takes in a change of a target's entry. One that cannot be used names no
-// target, as if the entry had been removed without a notice: every instance, whether it
-// reads changes or a snapshot, comes to the same targets. Age is that of the record, at most.
-func (s *State) applyRecordTarget(r Record, age time.Duration) bool {
+// applyTargetRecord applies a change of a target's entry. An invalid record is handled as a
+// removal without a leaving notice, so that instances that read changes and those that read
+// a snapshot arrive at the same targets. age is the maximum age of the record.
+func (s *State) applyTargetRecord(r Record, age time.Duration) bool {
 	if r.Err != nil {
 		s.refusals.note(eventlog.EntryRefused, Targets, string(r.ID), r.Offset, r.Err)
 	}
@@ -270,69 +274,70 @@
 	return s.registry.ApplySince(now, registry.Change{Offset: r.Offset, ID: r.ID, Entry: r.Entry}, now.Add(-age))
 }
 
-// contact is what is known of whether the store's log answers anybody, beside what this instance
-// was answered itself.
-type contact struct {
-	// away tells that somebody gets no answer, and nobody is known to get any.
-	away bool
-	// answered are times in which others had answers.
-	answered []registry.Span
+// storeStatus is the availability of the store's log by the reports of all instances.
+type storeStatus struct {
+	// unavailable is true if some instance gets no responses and none is known to get any.
+	unavailable bool
+	// answeredSpans are periods in which others got responses.
+	answeredSpans []registry.Span
 }
 
-// answered notes a time in which the store's log answered this instance.
-func (s *State) answered(span registry.Span) {
+// recordAnswered records a period in which the store's log responded to this instance.
+func (s *State) recordAnswered(span registry.Span) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.registry.RecordAnswered(span)
 }
 
-// lastAnswered is the latest time in which the store's log is known to have answered somebody.
+// lastAnswered returns the latest period in which the store's log is known to have responded
+// to any instance.
 func (s *State) lastAnswered() registry.Span {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.registry.LastAnswered()
 }
 
-// tick ends what is over by time.
-func (s *State) tick(now time.Time, c contact) {
+// tick records the store's status and ends grace periods that have expired.
+func (s *State) tick(now time.Time, status storeStatus) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.take(now, c)
+	s.updateAvailability(now, status)
 	s.registry.Tick(now)
 	s.publish("tick")
 }
 
-// take tells the registry whether the store's log answers anybody, and logs what changed.
-func (s *State) take(now time.Time, c contact) {
+// updateAvailability passes the store's status to the registry and logs changes.
+func (s *State) updateAvailability(now time.Time, status storeStatus) {
 	before := s.registry.LastOutage()
-	for _, span := range c.answered {
+	for _, span := range status.answeredSpans {
 		s.registry.RecordAnswered(span)
 	}
-	if s.registry.SetUnavailable(c.away) {
-		eventlog.Info(eventlog.StoreAway, "away", c.away, "answered_ms", now.Sub(s.registry.LastAnswered().Until).Milliseconds())
+	if s.registry.SetUnavailable(status.unavailable) {
+		eventlog.Info(eventlog.StoreAway, "away", status.unavailable, "answered_ms", now.Sub(s.registry.LastAnswered().Until).Milliseconds())
 	}
 	after := s.registry.LastOutage()
 	if before.From.Equal(after.From) {
 		return
 	}
-	told := after
-	if told.IsZero() {
-		told = before
+	outage := after
+	if outage.IsZero() {
+		outage = before
 	}
-	eventlog.Info(eventlog.StoreOutage, "known", !after.IsZero(), "lasted_ms", told.Until.Sub(told.From).Milliseconds(),
-		"ended_ms", now.Sub(told.Until).Milliseconds())
+	eventlog.Info(eventlog.StoreOutage, "known", !after.IsZero(), "lasted_ms", outage.Until.Sub(outage.From).Milliseconds(),
+		"ended_ms", now.Sub(outage.Until).Milliseconds())
 }
 
-// logHolds tells of targets that stay in use though their entries have vanished.
-func (s *State) logHolds(from string) {
+// logGracePeriods logs targets that stay in use for a grace period after their entries have
+// vanished.
+func (s *State) logGracePeriods(from string) {
 	for _, h := range s.registry.TakeGracePeriods() {
 		eventlog.Info(eventlog.TargetHeld, "target", h.Target.ID, "service", h.Target.Service, "age_ms", h.Age.Milliseconds(), "hold_ms", h.Remaining.Milliseconds(), "why", h.Reason, "from", from)
 	}
 }
 
-// publish makes the registry's view the one in force and logs what changed.
+// publish makes the registry's view the current one and logs the changes.
 func (s *State) publish(from string) {
-	s.logHolds(from)
+	s.logGracePeriods(from)
 	before, after := s.targets.Load(), s.registry.View()
 	if before == after {
 		return
@@ -351,19 +356,19 @@
 	})
 }
 
-// changed tells of changes; the lock is not held.
-func (s *State) changed(yes bool) {
+// notifyChanges calls the callbacks that are due. The caller must not hold s.mu.
+func (s *State) notifyChanges(changed bool) {
 	s.mu.Lock()
-	again, moved := s.registry.TakeRestarted(), s.moved
-	s.moved = false
+	restarted, advanced := s.registry.TakeRestarted(), s.epochAdvanced
+	s.epochAdvanced = false
 	s.mu.Unlock()
-	if moved && s.onRestore != nil {
+	if advanced && s.onRestore != nil {
 		s.onRestore()
 	}
-	if len(again) > 0 && s.onRestart != nil {
-		s.onRestart(again)
+	if len(restarted) > 0 && s.onRestart != nil {
+		s.onRestart(restarted)
 	}
-	if yes && s.onChange != nil {
+	if changed && s.onChange != nil {
 		s.onChange()
 	}
 }
--- a/statesync/state_test.go
+++ b/statesync/state_test.go
@@ -35,11 +35,11 @@
 	return Record{Offset: o, ID: id, Entry: &registry.Entry{ID: id, Service: "s", Sequence: 1}}
 }
 
-func TestStateMovesOnlyUpwards(t *testing.T) {
+func TestStateIgnoresOlderVersions(t *testing.T) {
 	changes := 0
 	s := NewState(0, func() { changes++ })
 	s.applyBatch(Documents, Batch{Next: 5, Records: []Record{{Offset: 4, Document: documentOf(7)}}}, "store")
-	s.applySnapshot(Documents, Batch{Next: 3, Records: []Record{{Document: documentOf(6)}}}, "a lagging store")
+	s.applySnapshot(Documents, Batch{Next: 3, Records: []Record{{Document: documentOf(6)}}}, "lagging store")
 	s.applyWhole(Whole{Document: documentOf(5), NextDocument: 2}, "peer", false)
 	v, _ := s.Versions()
 	assert.Equal(t, v, document.Version(7))
@@ -47,7 +47,7 @@
 	assert.Equal(t, changes, 1)
 
 	s.applyBatch(Targets, Batch{Records: []Record{record(0, "a"), record(1, "b")}}, "store")
-	s.applySnapshot(Targets, Batch{Next: 1, Records: []Record{record(0, "a")}}, "a lagging store")
+	s.applySnapshot(Targets, Batch{Next: 1, Records: []Record{record(0, "a")}}, "lagging store")
 	s.applyWhole(Whole{Registry: 1}, "peer", false)
 	assert.Equal(t, s.Targets().Len(), 2)
 	s.applyWhole(Whole{Registry: 9, Entries: []registry.Entry{{ID: "c", Service: "s"}, {ID: "a", Service: "s", Sequence: 2}, {ID: "b", Service: "s", Sequence: 2}}}, "peer", false)
@@ -55,7 +55,7 @@
 	assert.Equal(t, s.next(Targets), registry.Position{Offset: 9})
 }
 
-func TestWhatCannotBeReadLeavesTheLastGoodState(t *testing.T) {
+func TestInvalidRecordsKeepLastGoodState(t *testing.T) {
 	s := NewState(0, nil)
 	s.applyBatch(Documents, Batch{Records: []Record{{Document: documentOf(7)}}}, "store")
 	bad := documentOf(9)
@@ -65,10 +65,10 @@
 	assert.Equal(t, v, document.Version(7))
 	s.applyBatch(Targets, Batch{Records: []Record{record(0, "a"), {Offset: 1, ID: "a", Err: errors.New("cut")}, record(2, "b")}}, "store")
 	assert.Equal(t, s.Targets().Len(), 2)
-	assert.Equal(t, s.next(Targets), registry.Position{Offset: 3}, "the reading goes on behind it")
+	assert.Equal(t, s.next(Targets), registry.Position{Offset: 3}, "reading continues after the invalid record")
 }
 
-func TestAPeerBringsAFreshInstanceUpToDate(t *testing.T) {
+func TestNewInstancePullsStateFromPeer(t *testing.T) {
 	old := NewState(0, nil)
 	old.applyBatch(Documents, Batch{Next: 1, Records: []Record{{Document: documentOf(7)}}}, "store")
 	old.applyBatch(Targets, Batch{Records: []Record{record(0, "a")}}, "store")
@@ -85,29 +85,29 @@
 	assert.Equal(t, o, registry.Position{Offset: 1})
 	w, err = newPuller().pull(t.Context(), addr, request{document: v, registry: o})
 	assert.NilError(t, err)
-	assert.Assert(t, w.Document == nil && len(w.Entries) == 0, "nothing that it has already")
+	assert.Assert(t, w.Document == nil && len(w.Entries) == 0, "a peer sends nothing that the requester already has")
 }
 
-// announcedStore counts how often it was told an address.
-type announcedStore struct {
+// announceCounter counts calls of Announce.
+type announceCounter struct {
 	Store
 	announced atomic.Int32
 	epoch     atomic.Int64
 }
 
-func (s *announcedStore) Announce(context.Context, string) (registry.Epoch, error) {
+func (s *announceCounter) Announce(context.Context, string) (registry.Epoch, error) {
 	s.announced.Add(1)
 	return registry.Epoch(s.epoch.Load()), nil
 }
 
-func (s *announcedStore) Addresses(context.Context) ([]string, error) { return nil, nil }
+func (s *announceCounter) Addresses(context.Context) ([]string, error) { return nil, nil }
 
 // zoneSizes are the instances of a zone in fleets of 293 and 920.
 var zoneSizes = []int{58, 184}
 
-// zoneOf is a zone with so many instances, all heard at the given time, and what each of them
-// sees of the others.
-func zoneOf(size int, now time.Time, log mesh.LogState) (members []mesh.Member, seenBy func(i int) mesh.View) {
+// zoneMembers returns the given number of instances of a zone, all heard at the same time, and
+// a function that returns the view that instance i has of the others.
+func zoneMembers(size int, now time.Time, log mesh.LogState) (members []mesh.Member, viewOf func(i int) mesh.View) {
 	for i := range size {
 		members = append(members, mesh.Member{Addr: fmt.Sprintf("10.0.0.%d:1", i+1), Zone: "a", Log: log, LastReceived: now})
 	}
@@ -116,22 +116,22 @@
 	}
 }
 
-// TestAFewInstancesOfAZoneAnnounceThemselves: whoever finds no peer does, and else the first of
-// the zone.
-func TestAFewInstancesOfAZoneAnnounceThemselves(t *testing.T) {
+// TestFewInstancesPerZoneAnnounceThemselves checks that the first instances of a zone announce
+// themselves, and so does one without peers: once, and again after a restore of the store.
+func TestFewInstancesPerZoneAnnounceThemselves(t *testing.T) {
 	for _, size := range zoneSizes {
-		members, seenBy := zoneOf(size, time.Now(), mesh.LogUnread)
+		members, viewOf := zoneMembers(size, time.Now(), mesh.LogUnread)
 		announcing := 0
 		for i := range members {
 			o := Options{Self: members[i].Addr, Zone: "a"}
-			if o.announces(seenBy(i)) {
+			if o.announces(viewOf(i)) {
 				announcing++
 			}
 		}
 		assert.Equal(t, announcing, announcedPerZone)
 	}
 
-	store, state := new(announcedStore), NewState(0, nil)
+	store, state := new(announceCounter), NewState(0, nil)
 	f := NewFollower(Options{State: state, Self: "self", Zone: "a", Store: store, Know: func([]string) {}, Peers: func() mesh.View { return mesh.View{At: time.Now(), Zone: "a"} }})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -154,11 +154,11 @@
 	announced(2)
 }
 
-// TestAPullThatFailedIsMadeAgain: the peer that was chosen cannot be reached, and nobody tells of
-// the newer state again.
-func TestAPullThatFailedIsMadeAgain(t *testing.T) {
-	ahead := NewState(0, nil)
-	ahead.applyBatch(Documents, Batch{Next: 3, Records: []Record{{Offset: 2, Document: documentOf(7)}}}, "store")
+// TestFailedPullIsRetried checks that a failed pull is repeated although no peer reports the
+// newer state again.
+func TestFailedPullIsRetried(t *testing.T) {
+	newer := NewState(0, nil)
+	newer.applyBatch(Documents, Batch{Next: 3, Records: []Record{{Offset: 2, Document: documentOf(7)}}}, "store")
 	failed := false
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !failed {
@@ -166,7 +166,7 @@
 			http.Error(w, "cut", http.StatusBadGateway)
 			return
 		}
-		ahead.ServeHTTP(w, r)
+		newer.ServeHTTP(w, r)
 	}))
 	defer srv.Close()
 	behind := NewState(0, nil)
@@ -184,6 +184,7 @@
 	}
 }
 
+// view returns a view of the members and of so many other zones, all heard now.
 func view(zones int, members ...mesh.Member) mesh.View {
 	now := time.Now()
 	v := mesh.View{At: now, Zone: "a", Members: members}
@@ -196,7 +197,7 @@
 	return v
 }
 
-func TestWhoReadsTheStore(t *testing.T) {
+func TestReaderCountPerZone(t *testing.T) {
 	members := func(log mesh.LogState) []mesh.Member {
 		var ms []mesh.Member
 		for _, addr := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "10.0.0.4:1"} {
@@ -217,15 +218,15 @@
 	}
 	assert.Equal(t, readers(0), readersAlone)
 	assert.Equal(t, readers(1), readersPerZone)
-	assert.Assert(t, served(view(0, members(mesh.LogAvailable)...), anyone))
-	assert.Assert(t, !served(view(0, members(mesh.LogUnavailable)...), anyone))
+	assert.Assert(t, served(view(0, members(mesh.LogAvailable)...), anyMember))
+	assert.Assert(t, !served(view(0, members(mesh.LogUnavailable)...), anyMember))
 }
 
-func anyone(*mesh.Member) bool { return true }
+func anyMember(*mesh.Member) bool { return true }
 
-// TestFewTakeOverFromReadersThatAreRefused lets the store refuse a zone's two readers:
-// the next instance reads at once, and those after it only if that fails too.
-func TestFewTakeOverFromReadersThatAreRefused(t *testing.T) {
+// TestFewInstancesReplaceRefusedReaders checks what happens when the store refuses a zone's
+// two readers: the next instance reads at once, and those after it only if that fails too.
+func TestFewInstancesReplaceRefusedReaders(t *testing.T) {
 	var members []mesh.Member
 	for n := range 12 {
 		members = append(members, mesh.Member{Addr: fmt.Sprintf("10.0.0.%d:1", n+1), Zone: "a"})
@@ -248,9 +249,9 @@
 		}
 		return n
 	}
-	assert.Equal(t, reading(), 3, "the two first and the next one")
+	assert.Equal(t, reading(), 3, "the two readers and the next instance")
 	v.At = v.At.Add(2*takeOverStep + time.Millisecond)
-	assert.Equal(t, reading(), 5, "two more, since no answer is heard of")
+	assert.Equal(t, reading(), 5, "two more, as no instance reports a response")
 	v.At = v.At.Add(12 * takeOverStep)
 	for i := range v.Members {
 		v.Members[i].LastReceived = v.At
@@ -259,19 +260,19 @@
 		rest := slices.Delete(slices.Clone(v.Members), i, i+1)
 		f.o.Peers = func() mesh.View { return mesh.View{At: v.At, Zone: "a", Members: rest, Zones: v.Zones} }
 	}
-	assert.Equal(t, reading(), len(members), "everybody, if nobody else gets answers")
+	assert.Equal(t, reading(), len(members), "all instances, if no other gets responses")
 }
 
-// TestAStoreThatRefusesAllIsNotAskedByAll: on a day on which the store was down for 8 s the 293
-// instances of a fleet made 6,466 calls, three times as many as on others, since each took
-// over from those before it that had no answer.
-func TestAStoreThatRefusesAllIsNotAskedByAll(t *testing.T) {
+// TestTakeoverIsBoundedWhenStoreRefusesAll guards against every instance taking over from
+// readers that get no responses: while the store was down for 8 s, the 293 instances of a fleet
+// made 6,466 calls, three times the usual number.
+func TestTakeoverIsBoundedWhenStoreRefusesAll(t *testing.T) {
 	for _, size := range zoneSizes {
 		now := time.Now()
-		members, seenBy := zoneOf(size, now, mesh.LogUnavailable)
+		members, viewOf := zoneMembers(size, now, mesh.LogUnavailable)
 		reading := 0
 		for i, m := range members {
-			f := NewFollower(Options{Self: m.Addr, Zone: "a", Peers: func() mesh.View { return seenBy(i) }})
+			f := NewFollower(Options{Self: m.Addr, Zone: "a", Peers: func() mesh.View { return viewOf(i) }})
 			f.unserved = now.Add(-time.Hour)
 			if f.reads() {
 				reading++
@@ -281,9 +282,9 @@
 	}
 }
 
-// TestANewReaderHasAnAnswerSoon: its first read must not wait for a change, or others
-// would take over too.
-func TestANewReaderHasAnAnswerSoon(t *testing.T) {
+// TestFirstReadOfNewReaderIsShort checks that the first read of a new reader does not wait for
+// a change: until it has a response to report, others would take over too.
+func TestFirstReadOfNewReaderIsShort(t *testing.T) {
 	f := NewFollower(Options{State: NewState(0, nil), Store: storeStub{}, Peers: func() mesh.View { return view(0) }, Self: "10.0.0.2:1", Zone: "a"})
 	assert.Assert(t, f.reads())
 	assert.Assert(t, f.wait(Targets) <= takeOverStep, f.wait(Targets))
@@ -293,15 +294,16 @@
 	assert.Equal(t, f.wait(Targets), probeWait)
 }
 
-// TestOneOfTwoThatTookOverGivesWay: each hears that the other gets answers.
-func TestOneOfTwoThatTookOverGivesWay(t *testing.T) {
+// TestOneOfTwoTakeoverReadersYields checks that exactly one of two takeover readers stops when
+// each learns that the other gets responses.
+func TestOneOfTwoTakeoverReadersYields(t *testing.T) {
 	addrs := []string{"10.0.0.1:1", "10.0.0.2:1"}
 	reading := 0
 	for i, self := range addrs {
 		other := mesh.Member{Addr: addrs[1-i], Zone: "a", Log: mesh.LogAvailable}
 		away := []mesh.Member{other}
 		for n := range readersPerZone {
-			away = append(away, mesh.Member{Addr: lowest(n), Zone: "a", Log: mesh.LogUnavailable})
+			away = append(away, mesh.Member{Addr: lowerRankedAddr(n), Zone: "a", Log: mesh.LogUnavailable})
 		}
 		f := NewFollower(Options{Self: self, Zone: "a", Peers: func() mesh.View { return view(1, away...) }})
 		f.role = true
@@ -312,8 +314,9 @@
 	assert.Equal(t, reading, 1)
 }
 
-// lowest returns addresses that come before those of the tests.
-func lowest(n int) string {
+// lowerRankedAddr returns the n-th of a series of addresses that rank before 10.0.0.1:1 and
+// 10.0.0.2:1 as readers.
+func lowerRankedAddr(n int) string {
 	for host := 3; ; host++ {
 		addr := fmt.Sprintf("10.0.%d.%d:1", n+1, host)
 		if readerRank(addr) < min(readerRank("10.0.0.1:1"), readerRank("10.0.0.2:1")) {
@@ -322,10 +325,10 @@
 	}
 }
 
-// storeStub answers no read after its first snapshot.
+// storeStub is a Store whose methods must not be called.
 type storeStub struct{ Store }
 
-func TestAnEarlierAnswerIsNoDutyNow(t *testing.T) {
+func TestNewReaderRoleResetsLogState(t *testing.T) {
 	f := NewFollower(Options{State: NewState(0, nil), Store: storeStub{}, Peers: func() mesh.View {
 		return view(0, mesh.Member{Addr: "10.0.0.1:1", Zone: "a", Log: mesh.LogAvailable})
 	}, Self: "10.0.0.2:1", Zone: "a"})
@@ -335,38 +338,35 @@
 	assert.Equal(t, f.Log(), mesh.LogAvailable)
 	f.role = false
 	f.reads()
-	assert.Equal(t, f.Log(), mesh.LogUnread, "it has just become a reader and has no answer yet")
+	assert.Equal(t, f.Log(), mesh.LogUnread, "a new reader has no response yet")
 	f.note(Targets, nil)
-	assert.Equal(t, f.Log(), mesh.LogUnread, "of one stream only")
+	assert.Equal(t, f.Log(), mesh.LogUnread, "only one stream has a response")
 	f.note(Documents, errors.New("away"))
 	assert.Equal(t, f.Log(), mesh.LogUnavailable)
 }
 
-func TestASilentReaderIsReplaced(t *testing.T) {
+func TestSilentReaderIsReplaced(t *testing.T) {
 	v := view(1, mesh.Member{Addr: "10.0.0.1:1", Zone: "a", Log: mesh.LogAvailable})
-	assert.Assert(t, served(v, anyone))
+	assert.Assert(t, served(v, anyMember))
 	v.At = v.At.Add(1100 * time.Millisecond)
-	assert.Assert(t, !served(v, anyone))
+	assert.Assert(t, !served(v, anyMember))
 }
 
-// TestSilentReadersOfALargeFleetAreReplacedInTime: in a fleet of 134 instances all readers of
-// the store fell silent at once, with full links, and others took over 2.3 s later. A change
-// must be in force everywhere within 2 to 2.5 s of its confirmation.
-//
-// Whether a member was on duty was told by three intervals between heartbeats, which grow
-// with the number of instances: 3.2 s at 134, 22 s at 920. Proved by the lines of the day:
-// the first reader-role that tells true comes 2.3 s after the last change that a reader told of.
-func TestSilentReadersOfALargeFleetAreReplacedInTime(t *testing.T) {
+// TestSilentReadersOfLargeFleetAreReplacedInTime guards against a reader timeout of three
+// heartbeat intervals, which grow with the number of instances: 3.2 s at 134 instances, 22 s at
+// 920. When saturated links silenced all readers of a fleet of 134 at once, others took over only
+// 2.3 s later, but a change must be applied everywhere within 2 to 2.5 s of its confirmation.
+func TestSilentReadersOfLargeFleetAreReplacedInTime(t *testing.T) {
 	v := view(1, mesh.Member{Addr: "10.0.0.1:1", Zone: "a", Log: mesh.LogAvailable})
 	v.Interval = 1064 * time.Millisecond
-	assert.Assert(t, served(v, anyone))
+	assert.Assert(t, served(v, anyMember))
 	v.At = v.At.Add(1100 * time.Millisecond)
-	assert.Assert(t, !served(v, anyone))
+	assert.Assert(t, !served(v, anyMember))
 }
 
-// TestReadersAreNotTheBridges: one instance with a full link must not hold up both what
-// other zones tell and what the store does.
-func TestReadersAreNotTheBridges(t *testing.T) {
+// TestReadersAreNotBridges checks that no instance is both a reader and a bridge, so that one
+// saturated link does not delay updates from both the store and other zones.
+func TestReadersAreNotBridges(t *testing.T) {
 	const bridges = 2
 	var addrs []string
 	for host := range 12 {
@@ -387,16 +387,16 @@
 	}
 }
 
-// TestPeersTellWhenTargetsStarted: as changes and as the whole state, and the instance
-// learns which have started again.
-func TestPeersTellWhenTargetsStarted(t *testing.T) {
+// TestPeersSendTargetStartTimes checks that peers send start times both with changes and with
+// a full list of entries, so that the receiver detects restarted targets.
+func TestPeersSendTargetStartTimes(t *testing.T) {
 	for _, lag := range []registry.Offset{0, 1} {
 		old := NewState(0, nil)
 		e := registry.Entry{ID: "a", Service: "s", Sequence: 40, Born: 1}
 		old.applyBatch(Targets, Batch{Records: []Record{{Offset: 0, ID: "a", Entry: &e}}}, "store")
 		fresh := NewState(0, nil)
-		var again []fleet.TargetID
-		fresh.OnRestart(func(ids []fleet.TargetID) { again = append(again, ids...) })
+		var restarted []fleet.TargetID
+		fresh.OnRestart(func(ids []fleet.TargetID) { restarted = append(restarted, ids...) })
 		catchUp := func() {
 			srv := httptest.NewServer(old)
 			defer srv.Close()
@@ -415,6 +415,6 @@
 		old.applyBatch(Targets, Batch{Records: []Record{{Offset: old.next(Targets).Offset, ID: "a", Entry: &later}}}, "store")
 		catchUp()
 		assert.Equal(t, fresh.Targets().Target("a").Born, int64(2))
-		assert.DeepEqual(t, again, []fleet.TargetID{"a"})
+		assert.DeepEqual(t, restarted, []fleet.TargetID{"a"})
 	}
 }
--- a/statesync/whole.go
+++ b/statesync/whole.go
@@ -107,16 +107,16 @@
 	ahead := all || w.position().After(s.registry.Next())
 	if ahead {
 		changed = s.catchUp(w) || changed
-		s.noteRestore(from)
+		s.recordRestore(from)
 	}
 	if ahead || departed {
 		s.publish(from)
 	}
 	if all {
-		s.alone = false
+		s.storeOnly = false
 	}
 	s.mu.Unlock()
-	s.changed(changed)
+	s.notifyChanges(changed)
 }
 
 // catchUp takes in a peer's targets. Changes follow only in the epoch that both know: a peer of
