--- a/gateway/contents.go
+++ b/gateway/contents.go
@@ -33,7 +33,7 @@
 // shows whether the content still crashes a target.
 func (c *call) startTrial() bool {
 	f := c.content.Fingerprint()
-	if !c.h.RunsTrial(f) || !c.h.Contents.Trial(time.Now(), &c.content) {
+	if !c.h.RunsTrial(f) || !c.h.Contents.AllowTrial(time.Now(), &c.content) {
 		return false
 	}
 	eventlog.Info(eventlog.ContentTried, "request", c.id, "content", f, "route", c.route.Name)
@@ -72,14 +72,14 @@
 	process := quarantine.Process{Target: e.placed.ID, Born: e.placed.Born}
 	switch {
 	case e.result.Answer != nil:
-		c.h.Contents.Answered(now, process, began)
+		c.h.Contents.RecordAnswer(now, process, began)
 		if served(&e.result) {
-			if evidence, changed := c.h.Contents.Served(now, &c.content); changed {
+			if evidence, changed := c.h.Contents.RecordServed(now, &c.content); changed {
 				c.h.SendContent(now, evidence)
 			}
 		}
 	case connectionLost(&e.result):
-		if evidence, changed := c.h.Contents.Lost(now, &c.content, quarantine.Loss{Process: process, Began: began, Ended: now}); changed {
+		if evidence, changed := c.h.Contents.RecordLoss(now, &c.content, quarantine.Loss{Process: process, Began: began, Ended: now}); changed {
 			c.h.SendContent(now, evidence)
 		}
 	}
@@ -172,7 +172,7 @@
 		return
 	}
 	g.sendContent(now, e)
-	for _, after := range e.RepeatAfter() {
+	for _, after := range e.ResendDelays() {
 		time.AfterFunc(after, func() { g.sendContent(time.Now(), e) })
 	}
 }
@@ -184,7 +184,7 @@
 // announceStoredContent sends a content that the store kept to the other instances, and repeats it.
 func (g *Gateway) announceStoredContent(now time.Time, e quarantine.Evidence) {
 	g.sendStoredContent(now, e)
-	for _, after := range e.RepeatAfter() {
+	for _, after := range e.ResendDelays() {
 		time.AfterFunc(after, func() { g.sendStoredContent(time.Now(), e) })
 	}
 }
@@ -212,7 +212,7 @@
 
 // fillContents adds contents under restriction, and recently cleared ones, to a packet.
 func (g *Gateway) fillContents(now time.Time, p *mesh.Packet) {
-	for _, e := range g.contents.Repeat() {
+	for _, e := range g.contents.HeartbeatEvidence() {
 		appendContent(now, p, &e)
 	}
 }
@@ -223,7 +223,7 @@
 	for i := range p.Contents {
 		e := decodeContent(now, &p.Contents[i])
 		e.Upheld = slices.Contains(p.Upheld, e.Content)
-		g.contents.Take(now, e, p.Addr)
+		g.contents.Merge(now, e, p.Addr)
 	}
 	for _, e := range p.Evidence {
 		if e.Observation == suspicion.Success {
@@ -243,7 +243,7 @@
 func (g *Gateway) recordTargetResponse(now time.Time, id fleet.TargetID, ageMillis int64) {
 	g.poison.RecordTargetSuccess(now, id)
 	if t := g.state.Targets().Target(id); t != nil {
-		g.contents.Answered(now, quarantine.Process{Target: id, Born: t.Born}, now.Add(-millis(ageMillis)))
+		g.contents.RecordAnswer(now, quarantine.Process{Target: id, Born: t.Born}, now.Add(-millis(ageMillis)))
 	}
 }
 
--- a/gateway/contents_test.go
+++ b/gateway/contents_test.go
@@ -178,7 +178,7 @@
 	g.fillGreeting(time.Now(), &p)
 	fresh := quarantine.New(logStandingChange)
 	for i := range p.Contents {
-		fresh.Take(time.Now(), decodeContent(time.Now(), &p.Contents[i]), "peer")
+		fresh.Merge(time.Now(), decodeContent(time.Now(), &p.Contents[i]), "peer")
 	}
 	assert.Equal(t, fresh.Standing(time.Now().Add(time.Second), c), quarantine.Quarantined)
 }
--- a/gateway/keeper.go
+++ b/gateway/keeper.go
@@ -128,7 +128,7 @@
 	for _, e := range es {
 		s.stored[e.Content] = recordOf(&e)
 		e = toMonotonic(now, e)
-		s.table.Take(now, e, "store")
+		s.table.Merge(now, e, "store")
 		s.announce(now, e)
 	}
 	return nil
@@ -147,7 +147,7 @@
 
 // write stores what the store lacks and deletes contents that can no longer be at fault.
 func (s *contentSyncer) write(ctx context.Context, now time.Time) error {
-	for f, e := range s.table.Keep(now) {
+	for f, e := range s.table.Snapshot(now) {
 		current, found := s.stored[f]
 		if found && !current.outdated(&e) || !found && !e.Upheld && len(s.stored) >= maxUnsettledStored {
 			continue
--- a/gateway/keeper_test.go
+++ b/gateway/keeper_test.go
@@ -60,7 +60,7 @@
 		assert.NilError(t, k.syncOnce(t.Context(), now))
 	}
 	step(k)
-	k.table.Take(now, quarantine.Evidence{Content: c.Fingerprint(), Losses: lossesAt(now, "gone", time.Second, 3)}, "peer")
+	k.table.Merge(now, quarantine.Evidence{Content: c.Fingerprint(), Losses: lossesAt(now, "gone", time.Second, 3)}, "peer")
 	step(k)
 	assert.Equal(t, len(s.kept), 1)
 
@@ -87,11 +87,11 @@
 	assert.Equal(t, len(s.kept), 1)
 
 	// Contents that were served or have expired are deleted.
-	next.table.Served(now, c)
+	next.table.RecordServed(now, c)
 	step(next)
 	assert.Equal(t, len(s.kept), 0)
 	k.stored = nil
-	s.kept[c.Fingerprint()] = quarantine.Evidence{Content: c.Fingerprint(), Losses: lossesAt(now, "gone", 2*quarantine.KeepFor, 3)}
+	s.kept[c.Fingerprint()] = quarantine.Evidence{Content: c.Fingerprint(), Losses: lossesAt(now, "gone", 2*quarantine.LossTTL, 3)}
 	last := newContentSyncer(s, &epoch, &reads)
 	step(last)
 	last.table.Tick(now)
@@ -110,7 +110,7 @@
 	s.err = nil
 	assert.NilError(t, k.syncOnce(t.Context(), now))
 	c := deadlyContent("GET", "/get/deadly")
-	k.table.Take(now, quarantine.Evidence{Content: c.Fingerprint(), Losses: lossesAt(now, "gone", time.Second, 3)}, "peer")
+	k.table.Merge(now, quarantine.Evidence{Content: c.Fingerprint(), Losses: lossesAt(now, "gone", time.Second, 3)}, "peer")
 	s.err = errors.New("unavailable")
 	assert.ErrorContains(t, k.syncOnce(t.Context(), now.Add(time.Second)), "unavailable")
 	s.err = nil
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,31 +1,32 @@
-// Package quarantine finds requests that crash the targets that run them (queries of
-// death), so that a fleet stops sending them on.
+// Package quarantine detects queries of death: requests that crash the targets that run them. The
+// fleet stops forwarding such a request to targets.
 //
-// A request is known again by its content (Fingerprint): callers send it once more under another
-// request ID and to any instance. For each content the Table keeps the processes of targets
-// at which an attempt lost its answer. Its Standing follows from that:
+// A request is identified by its content (Fingerprint), since callers repeat it under another
+// request ID and at any instance. For each content the Table records the target processes
+// at which an attempt lost its response. The content's Standing follows from these losses:
 //
-//   - after one loss it is Suspected, after two that followed each other Restricted: it
-//     spends fewer targets while it is not known whose fault the losses are;
-//   - after three it is Quarantined, if nothing speaks for it.
+//   - after one loss it is Suspected, after two consecutive ones Restricted: it may reach
+//     fewer targets while the cause of the losses is unknown;
+//   - after three it is Quarantined, unless there is exonerating evidence.
 //
-// What speaks for a content:
+// Exonerating evidence is:
 //
-//   - a target served it: all losses before that fall;
-//   - a process at which its answer was lost answered something later, so it had not crashed;
-//   - losses of one moment count once: what ends a whole service is no request's fault;
-//   - another content was lost at the same processes and more. That one explains what it took
-//     with it. While two are about as likely neither is accused: the next crash tells them apart;
-//   - other processes were lost without it at the same time: then more losses are needed.
+//   - A target served the content: all earlier losses are dropped.
+//   - A process that lost the response answered a later attempt, so it had not crashed.
+//   - Simultaneous losses count once: the outage of a whole service is not caused by one request.
+//   - Another content has losses at the same processes and at more. The losses are attributed to
+//     that one. While both are about equally likely, neither is quarantined until further crashes
+//     distinguish them.
+//   - Other processes were lost at the same time without the content: then more losses are required.
 //
-// The last two count up to a bound only: what a content may cost is limited whoever is at fault. One that
-// reaches it is refused in doubt, and a quarantine that has settled is not lifted by them.
+// The last two apply only up to a limit, which bounds the cost of a content whatever the cause. A content that
+// reaches the limit is refused despite the doubt, and a settled quarantine is not lifted by them.
 //
-// A content in quarantine is tried again by one request now and then, soon if in doubt, and free once a target has
-// served it.
+// A quarantined content is retried occasionally with a single request, sooner if it is in doubt. It is released
+// once a target has served it.
 //
-// Evidence is merged, not counted: it may be told in any order and any number of times. Instances
-// tell each other what they lose, and each comes to its verdicts by itself.
+// Merging evidence is idempotent and commutative. Instances send each other their losses, and each
+// derives the standings on its own.
 //
 // The package reads no clock and does no I/O.
 package quarantine
--- a/quarantine/entry.go
+++ b/quarantine/entry.go
@@ -8,39 +8,39 @@
 	"time"
 )
 
-// maxLosses bounds the processes that are remembered for one content.
+// maxLosses bounds the losses stored per content.
 const maxLosses = 32
 
-// entry is what is known of one content.
+// entry is the state of one content.
 type entry struct {
 	content Fingerprint
-	// losses are in the order of their ends.
+	// losses are sorted by end time.
 	losses   []Loss
 	served   time.Time
 	standing Standing
-	// watched are the processes that the table lists the entry by.
-	watched []Process
-	// provenAt is when it got its standing.
-	provenAt time.Time
-	// upheld tells that its quarantine had settled at instances that are gone.
+	// indexedBy lists the processes under which the table indexes the entry.
+	indexedBy []Process
+	// standingSince is the time of the last change of standing.
+	standingSince time.Time
+	// upheld reports whether the quarantine had settled at instances that have since been lost.
 	upheld bool
-	// restricted tells whether it ever was.
+	// restricted reports whether the content ever was restricted or quarantined.
 	restricted bool
-	// doubted tells of one that may be at fault that another content may be in its place.
+	// doubted reports that the losses may be the fault of another content.
 	doubted bool
-	// tried is how many trials of it were begun here since it was served, and tryingUntil for how long the last
-	// is waited for.
-	tried       int
-	tryingUntil time.Time
-	// changedAt is when the entry last took in anything.
+	// trials counts the trials that this instance has started since the content was last served. No other
+	// trial starts before trialDeadline.
+	trials        int
+	trialDeadline time.Time
+	// changedAt is when the entry last changed.
 	changedAt time.Time
 }
 
-// add takes in a loss. It tells whether that changed anything.
+// addLoss records a loss and reports whether that changed anything.
 //
-// Where several tell of one process, the earliest end and the shortest attempt count. Both only ever
-// shrink, so that what is told again and again, a little later each time, comes to rest.
-func (e *entry) add(l Loss) bool {
+// Of several reports on one process, the earliest end and the shortest duration are kept. Both only
+// decrease, so that repeated reports with slightly later times converge.
+func (e *entry) addLoss(l Loss) bool {
 	if !l.Ended.After(e.served) {
 		return false
 	}
@@ -53,89 +53,89 @@
 		slices.SortStableFunc(e.losses, byEnd)
 		return true
 	}
-	known := &e.losses[i]
-	before := *known
-	took := min(known.Ended.Sub(known.Began), l.Ended.Sub(l.Began))
-	if l.Ended.Before(known.Ended) {
-		known.Ended = l.Ended
+	stored := &e.losses[i]
+	before := *stored
+	duration := min(stored.Ended.Sub(stored.Began), l.Ended.Sub(l.Began))
+	if l.Ended.Before(stored.Ended) {
+		stored.Ended = l.Ended
 	}
-	known.Began = known.Ended.Add(-took)
-	changed := *known != before
+	stored.Began = stored.Ended.Add(-duration)
+	changed := *stored != before
 	slices.SortStableFunc(e.losses, byEnd)
 	return changed
 }
 
-// serve takes in that the content was served: it need not crash a target, and what was held
-// against it before falls. It tells whether anything did.
-func (e *entry) serve(at time.Time) bool {
+// markServed records that the content was served, which drops all losses up to that time. It reports
+// whether any were dropped.
+func (e *entry) markServed(at time.Time) bool {
 	if !at.After(e.served) {
 		return false
 	}
 	e.served = at
-	e.tried, e.tryingUntil = 0, time.Time{}
+	e.trials, e.trialDeadline = 0, time.Time{}
 	return e.dropLosses(func(l Loss) bool { return !l.Ended.After(at) })
 }
 
-// dropLosses drops some losses and tells whether there were any.
-func (e *entry) dropLosses(which func(Loss) bool) bool {
+// dropLosses deletes the losses that match and reports whether there were any.
+func (e *entry) dropLosses(match func(Loss) bool) bool {
 	n := len(e.losses)
-	e.losses = slices.DeleteFunc(e.losses, which)
+	e.losses = slices.DeleteFunc(e.losses, match)
 	return len(e.losses) < n
 }
 
-// lostAt tells whether an answer was lost at a process.
-func (e *entry) lostAt(p Process) bool {
+// hasLossAt reports whether a response was lost at the process.
+func (e *entry) hasLossAt(p Process) bool {
 	return slices.ContainsFunc(e.losses, func(l Loss) bool { return l.Process == p })
 }
 
-// answered drops the loss at a process that answered what began after it: only the connection was
-// lost. It tells whether there was any.
-func (e *entry) answered(p Process, began time.Time) bool {
+// refuteLoss drops the loss at a process that answered an attempt begun after it: only the connection
+// had failed. It reports whether there was such a loss.
+func (e *entry) refuteLoss(p Process, began time.Time) bool {
 	return e.dropLosses(func(l Loss) bool { return l.Process == p && began.After(l.Ended.Add(maxTransit)) })
 }
 
-// trialDue is when the content is to be tried again; false if it has cost as many late losses as trials may:
-// one that failed is a late loss.
+// trialDue returns when the next trial of the content is due. It returns false once the content has as many
+// late losses as trials are allowed; a failed trial is a late loss.
 func (e *entry) trialDue() (time.Time, bool) {
-	wait, most := trialAfter, maxTrials
-	for range e.failedTrials(trialAfter) {
-		wait *= trialGrowth
+	delay, limit := trialDelay, maxTrials
+	for range e.failedTrials(trialDelay) {
+		delay *= trialGrowth
 	}
 	if e.doubted {
-		most++
-		if e.failedTrials(trialSoon) == 0 {
-			wait = trialSoon + time.Duration(e.content[0])*trialSpread/math.MaxUint8
+		limit++
+		if e.failedTrials(doubtedTrialDelay) == 0 {
+			delay = doubtedTrialDelay + time.Duration(e.content[0])*trialSpread/math.MaxUint8
 		}
 	}
 	last := e.losses[len(e.losses)-1]
-	return last.Ended.Add(wait), len(e.late()) < most
+	return last.Ended.Add(delay), len(e.lateLosses()) < limit
 }
 
-// until is when the content is tried again, or its quarantine ends.
+// until returns when the next trial is due or the quarantine ends.
 func (e *entry) until() time.Time {
-	until := e.losses[0].Ended.Add(KeepFor)
+	until := e.losses[0].Ended.Add(LossTTL)
 	if due, ok := e.trialDue(); ok && due.Before(until) {
 		return due
 	}
 	return until
 }
 
-// failedTrials is how many late losses came so long after the one before that they are failed trials.
+// failedTrials counts the late losses that came so long after any other that they must be failed trials.
 func (e *entry) failedTrials(after time.Duration) int {
 	n := 0
-	for _, l := range e.late() {
-		alone := !slices.ContainsFunc(e.losses, func(x Loss) bool {
-			return x != l && !x.Ended.After(l.Ended) && l.Ended.Sub(x.Ended) < after
+	for _, l := range e.lateLosses() {
+		isolated := !slices.ContainsFunc(e.losses, func(other Loss) bool {
+			return other != l && !other.Ended.After(l.Ended) && l.Ended.Sub(other.Ended) < after
 		})
-		if alone {
+		if isolated {
 			n++
 		}
 	}
 	return n
 }
 
-// late are the losses of attempts that began late.
-func (e *entry) late() []Loss {
+// lateLosses returns the losses of attempts that began more than lateAfter after the third loss.
+func (e *entry) lateLosses() []Loss {
 	if len(e.losses) < int(Quarantined) {
 		return nil
 	}
@@ -147,32 +147,32 @@
 
 func byEnd(a, b Loss) int { return a.Ended.Compare(b.Ended) }
 
-// explanations names, for each process that a content in quarantine has crashed, that content.
-// Whatever else was lost there is not held against others.
-type explanations map[Process]Fingerprint
+// attributions maps each process that a quarantined content has crashed to that content.
+// Other losses at the process do not count against other contents.
+type attributions map[Process]Fingerprint
 
-// add lets a content explain the losses that are held against it.
-func (x explanations) add(e *entry) {
+// attribute attributes to a content the losses that count against it.
+func (a attributions) attribute(e *entry) {
 	for _, l := range e.losses {
-		if x.counts(e.content, l.Process) {
-			x[l.Process] = e.content
+		if a.countsAgainst(e.content, l.Process) {
+			a[l.Process] = e.content
 		}
 	}
 }
 
-// counts tells whether the loss at a process is held against a content.
-func (x explanations) counts(f Fingerprint, p Process) bool {
-	by, ok := x[p]
+// countsAgainst reports whether the loss at a process counts against a content.
+func (a attributions) countsAgainst(f Fingerprint, p Process) bool {
+	by, ok := a[p]
 	return !ok || by == f
 }
 
-// chain yields the losses that followed each other: attempts that were begun once the one before was
-// lost. Those of one moment count once, since what ends a whole service breaks many attempts with one content.
-func (e *entry) chain(x explanations) iter.Seq[Loss] {
+// chain yields the consecutive losses: each attempt began after the previous loss had ended. Simultaneous
+// losses count once, since the outage of a whole service breaks many attempts with one content.
+func (e *entry) chain(attr attributions) iter.Seq[Loss] {
 	return func(yield func(Loss) bool) {
 		var last time.Time
 		for _, l := range e.losses {
-			if l.Began.Before(last) || !x.counts(e.content, l.Process) {
+			if l.Began.Before(last) || !attr.countsAgainst(e.content, l.Process) {
 				continue
 			}
 			if !yield(l) {
@@ -183,33 +183,33 @@
 	}
 }
 
-// sequential is how many losses followed each other.
-func (e *entry) sequential(x explanations) int {
+// chainLen returns the number of consecutive losses.
+func (e *entry) chainLen(attr attributions) int {
 	n := 0
-	for range e.chain(x) {
+	for range e.chain(attr) {
 		n++
 	}
 	return n
 }
 
-// accusable tells whether the content may be at fault for what was lost.
-func (e *entry) accusable() bool { return len(e.losses) >= int(Quarantined) }
+// isCandidate reports whether the content has enough losses to be at fault.
+func (e *entry) isCandidate() bool { return len(e.losses) >= int(Quarantined) }
 
-// settled tells whether the content is in quarantine for long enough that what speaks against that
-// would be known.
+// settled reports whether the content has been quarantined for long enough that exonerating evidence
+// would have arrived.
 func (e *entry) settled(now time.Time) bool {
-	return e.standing == Quarantined && (e.upheld || now.Sub(e.provenAt) >= settling)
+	return e.standing == Quarantined && (e.upheld || now.Sub(e.standingSince) >= settlingTime)
 }
 
-// cleared tells whether the content was under restriction until it was served.
+// cleared reports whether the content was restricted and has since been served.
 func (e *entry) cleared() bool { return e.restricted && len(e.losses) == 0 && !e.served.IsZero() }
 
-// settledBefore orders contents by when their quarantine settled, those of which none did last.
-func (e *entry) settledBefore(now time.Time, other *entry) int {
+// compareSettled orders contents by when their quarantine settled, those without a settled one last.
+func (e *entry) compareSettled(now time.Time, other *entry) int {
 	a, b := e.settled(now), other.settled(now)
 	switch {
 	case a && b:
-		return e.provenAt.Compare(other.provenAt)
+		return e.standingSince.Compare(other.standingSince)
 	case a:
 		return -1
 	case b:
@@ -218,70 +218,71 @@
 	return 0
 }
 
-// exhausted tells whether the content has cost what one may, whatever speaks for it.
-func (e *entry) exhausted(x explanations) bool {
-	return e.sequential(x) >= maxProof || e.stands() && len(e.late()) > 0
+// atCostLimit reports whether the content has reached the limit from which it is refused despite
+// exonerating evidence.
+func (e *entry) atCostLimit(attr attributions) bool {
+	return e.chainLen(attr) >= maxChainLen || e.hasFullChain() && len(e.lateLosses()) > 0
 }
 
-// alone is how many losses are at processes at which no other of the contents was lost that has at least a
-// rivalShare-th as many.
-func (e *entry) alone(at map[Process][]*entry) int {
+// unsharedLosses counts the losses at processes where no other content has a loss that has at least
+// 1/rivalDivisor as many losses in total.
+func (e *entry) unsharedLosses(at map[Process][]*entry) int {
 	n := 0
 	for _, l := range e.losses {
-		rival := slices.ContainsFunc(at[l.Process], func(other *entry) bool {
-			return other != e && rivalShare*len(other.losses) >= len(e.losses)
+		shared := slices.ContainsFunc(at[l.Process], func(other *entry) bool {
+			return other != e && rivalDivisor*len(other.losses) >= len(e.losses)
 		})
-		if !rival {
+		if !shared {
 			n++
 		}
 	}
 	return n
 }
 
-// stands tells whether the losses are those of a quarantine, whoever else explains them.
-func (e *entry) stands() bool { return e.sequential(nil) >= int(Quarantined) }
+// hasFullChain reports whether the losses suffice for a quarantine if attributions are ignored.
+func (e *entry) hasFullChain() bool { return e.chainLen(nil) >= int(Quarantined) }
 
-// proves is the standing that the losses prove.
-func (e *entry) proves(x explanations) Standing {
+// provenStanding returns the standing that follows from the losses.
+func (e *entry) provenStanding(attr attributions) Standing {
 	switch len(e.losses) {
 	case 0:
 		return Unsuspected
 	case 1:
-		if x.counts(e.content, e.losses[0].Process) {
+		if attr.countsAgainst(e.content, e.losses[0].Process) {
 			return Suspected
 		}
 		return Unsuspected
 	}
-	return Standing(min(e.sequential(x), int(Quarantined)))
+	return Standing(min(e.chainLen(attr), int(Quarantined)))
 }
 
-// held is how many losses are held against the content.
-func (e *entry) held(x explanations) int {
+// countedLosses returns the number of losses that count against the content.
+func (e *entry) countedLosses(attr attributions) int {
 	n := 0
 	for _, l := range e.losses {
-		if x.counts(e.content, l.Process) {
+		if attr.countsAgainst(e.content, l.Process) {
 			n++
 		}
 	}
 	return n
 }
 
-// maxToldLosses bounds the losses of one content that others are told. Those that only heard of some
-// might put down the rest to another content.
-const maxToldLosses = 12
+// maxSentLosses bounds the losses of one content that are sent to other instances. It exceeds what the
+// proof needs, since an instance that has only some of them might attribute the rest to another content.
+const maxSentLosses = 12
 
-// evidence is what others are told: the losses that prove the standing, then others that are held
-// against the content. Of one in doubt all are: each instance counts what it may cost by all of its losses.
-func (e *entry) evidence(x explanations) Evidence {
+// evidence returns what is sent to other instances: the losses that prove the standing, then others that count
+// against the content. For a doubted content it includes all losses, as its cost limit is based on all of them.
+func (e *entry) evidence(attr attributions) Evidence {
 	if e.doubted {
-		x = nil
+		attr = nil
 	}
-	out := Evidence{Content: e.content, Served: e.served, Losses: slices.Collect(e.chain(x)), Upheld: e.upheld}
+	out := Evidence{Content: e.content, Served: e.served, Losses: slices.Collect(e.chain(attr)), Upheld: e.upheld}
 	for _, l := range e.losses {
-		if x.counts(e.content, l.Process) && !slices.Contains(out.Losses, l) {
+		if attr.countsAgainst(e.content, l.Process) && !slices.Contains(out.Losses, l) {
 			out.Losses = append(out.Losses, l)
 		}
 	}
-	out.Losses = out.Losses[:min(len(out.Losses), maxToldLosses)]
+	out.Losses = out.Losses[:min(len(out.Losses), maxSentLosses)]
 	return out
 }
--- a/quarantine/evidence.go
+++ b/quarantine/evidence.go
@@ -9,52 +9,52 @@
 // Process is one process of a target.
 type Process struct {
 	Target fleet.TargetID
-	// Born is when it started, in milliseconds since the Unix epoch; 0 if that is not known.
+	// Born is the start time in milliseconds since the Unix epoch; 0 if unknown.
 	Born int64
 }
 
-// Loss is an attempt whose answer was lost with its connection: the process may have crashed.
+// Loss is an attempt whose response was lost with its connection: the process may have crashed.
 type Loss struct {
 	Process Process
-	// Began and Ended are those of the attempt.
+	// Began and Ended are the start and end of the attempt.
 	Began, Ended time.Time
 }
 
-// Evidence is what is known of a content: what instances tell each other of it.
+// Evidence is the information on one content that instances exchange.
 type Evidence struct {
 	Content Fingerprint
-	// Losses are one a process.
+	// Losses has at most one loss per process.
 	Losses []Loss
-	// Served is when a target last served the content and told so; zero if none did.
+	// Served is when a target last served the content; zero if no success is known.
 	Served time.Time
-	// Upheld tells that its quarantine had settled at instances that are gone: what the others hear first
-	// of other contents does not lift it.
+	// Upheld reports that the quarantine had settled at instances that have since been lost. Early evidence
+	// on other contents does not lift such a quarantine.
 	Upheld bool
 }
 
-// Standing is what may be done with a request.
+// Standing determines how a request may be forwarded.
 type Standing uint8
 
 const (
-	// Unsuspected: nothing is known against it.
+	// Unsuspected contents have no losses that count against them.
 	Unsuspected Standing = iota
-	// Suspected: it may have crashed a target. It goes to one target at a time.
+	// Suspected contents may have crashed one target. They go to one target at a time.
 	Suspected
-	// Restricted: it may have crashed two. It goes to one target and no further one.
+	// Restricted contents may have crashed two targets. They go to one target and are not retried at another.
 	Restricted
-	// Quarantined: it crashes its targets, and goes to none.
+	// Quarantined contents crash their targets and are not forwarded.
 	Quarantined
 )
 
 var standingNames = [...]string{"unsuspected", "suspected", "restricted", "quarantined"}
 
-// String names the standing as logs and commands write it.
+// String returns the name of the standing in logs and commands.
 func (s Standing) String() string { return standingNames[s] }
 
-// Change is a new standing of a content.
+// Change is a change of the standing of a content.
 type Change struct {
 	Evidence
 	Before, Now Standing
-	// From names who told what changed it.
+	// From names the source of the evidence: a peer, a target, self, time or operator.
 	From string
 }
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -7,12 +7,12 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestAContentIsKnownAgain(t *testing.T) {
+func TestFingerprintIdentifiesContent(t *testing.T) {
 	c := Content{Method: "GET", Host: "h.example", URI: "/get/1?x=2", Body: []byte("body")}
 	same := Content{Method: "GET", Host: "h.example", URI: "/get/1?x=2", Body: []byte("body")}
 	assert.Equal(t, c.Fingerprint(), same.Fingerprint())
-	assert.Equal(t, c.Fingerprint().head(), c.head())
-	// The name is part of what instances of different versions tell each other.
+	assert.Equal(t, c.Fingerprint().shortHash(), c.shortHash())
+	// Instances of different versions exchange the fingerprint, so its value must not change.
 	assert.Equal(t, c.Fingerprint().String(), "db5587a40ee084b78e6f5b4386d056ddeb42feae")
 	for _, other := range []*Content{
 		{Method: "PUT", Host: c.Host, URI: c.URI, Body: c.Body},
@@ -39,7 +39,7 @@
 	b.Run("head", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			c.head()
+			c.shortHash()
 		}
 	})
 }
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -15,31 +15,31 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// Sizes of the model. A loss spreads as mesh sends it: at once within the zone, by a bridge to
-// the other zones.
+// Parameters of the model. Evidence spreads as in the mesh: directly within the zone, and through a bridge
+// to the other zones.
 const (
-	modelZones     = 5
-	modelTargets   = 10
-	workMin        = 200 * time.Millisecond
-	workMax        = 500 * time.Millisecond
-	crashMin       = 10 * time.Millisecond
-	crashMax       = 250 * time.Millisecond
-	comesBackAfter = 2 * time.Second
-	nearMin        = time.Millisecond
-	nearMax        = 10 * time.Millisecond
-	acrossMin      = 20 * time.Millisecond
-	acrossMax      = 40 * time.Millisecond
-	heartbeat      = 1400 * time.Millisecond
-	datagramsLost  = 0.1
-	maxAttempts    = 2
-	// callerTries and callerPause are those of an ordinary caller whose request failed.
-	callerTries = 3
-	callerPause = 200 * time.Millisecond
-	// toleratedAfter is from when on after its third crash repeats of a request count.
-	toleratedAfter = 3 * time.Second
+	modelZones        = 5
+	modelTargets      = 10
+	workMin           = 200 * time.Millisecond
+	workMax           = 500 * time.Millisecond
+	crashMin          = 10 * time.Millisecond
+	crashMax          = 250 * time.Millisecond
+	restartDelay      = 2 * time.Second
+	inZoneDelayMin    = time.Millisecond
+	inZoneDelayMax    = 10 * time.Millisecond
+	crossZoneDelayMin = 20 * time.Millisecond
+	crossZoneDelayMax = 40 * time.Millisecond
+	heartbeatInterval = 1400 * time.Millisecond
+	datagramLossRate  = 0.1
+	maxAttempts       = 2
+	// callerAttempts and callerRetryDelay describe an ordinary caller whose request fails.
+	callerAttempts   = 3
+	callerRetryDelay = 200 * time.Millisecond
+	// toleratedDelay is the time after a request's third crash from which its arrivals count as late.
+	toleratedDelay = 3 * time.Second
 )
 
-// modelTarget is a target's process, with the attempts that it runs.
+// modelTarget is a target process with its running attempts.
 type modelTarget struct {
 	process  Process
 	up       bool
@@ -51,11 +51,11 @@
 	content  *Content
 	began    time.Duration
 	deadly   bool
-	over     bool
-	then     func(lost bool)
+	ended    bool
+	onEnd    func(lost bool)
 }
 
-// model is a fleet without network: instances, each with its table, before the targets of one service.
+// model simulates a fleet without a network: instances, each with its table, in front of the targets of one service.
 type model struct {
 	eventqueue.Queue
 	t       testing.TB
@@ -63,16 +63,16 @@
 	start   time.Time
 	tables  []*Table
 	targets []*modelTarget
-	named   int
-	// crashes are the times of crashes by each deadly request, arrivals those at which it reached a target.
+	lastID  int
+	// crashes and arrivals are the times at which each deadly request crashed and reached a target.
 	crashes, arrivals map[*Content][]time.Duration
-	// wrong counts refusals of other contents.
-	wrong int
-	// down tells that no instance runs, unread that none has read what the store has, which is kept.
-	down, unread bool
-	// life counts the losses of all instances.
-	life int
-	kept []Evidence
+	// wrongRefusals counts refusals of innocent contents.
+	wrongRefusals int
+	// down reports that no instance is running, storeUnread that none has read the store, whose content is stored.
+	down, storeUnread bool
+	// generation counts the losses of all instances.
+	generation int
+	stored     []Evidence
 }
 
 func newModel(t testing.TB, seed uint64, instances, targets int) *model {
@@ -86,60 +86,60 @@
 	for range targets {
 		x := new(modelTarget)
 		m.targets = append(m.targets, x)
-		m.revive(x)
+		m.restart(x)
 	}
 	for i := range m.tables {
-		m.After(m.between(0, heartbeat), func() { m.beat(i) })
+		m.After(m.between(0, heartbeatInterval), func() { m.sendHeartbeat(i) })
 	}
 	return m
 }
 
-func (m *model) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(m.rng.Int64N(int64(most-least)))
+func (m *model) between(lo, hi time.Duration) time.Duration {
+	return lo + time.Duration(m.rng.Int64N(int64(hi-lo)))
 }
 
 func (m *model) time() time.Time { return m.start.Add(m.Now()) }
 
-func (m *model) revive(x *modelTarget) {
-	m.named++
-	*x = modelTarget{process: Process{Target: fleet.TargetID(fmt.Sprint("t", m.named)), Born: int64(m.named)}, up: true}
+func (m *model) restart(x *modelTarget) {
+	m.lastID++
+	*x = modelTarget{process: Process{Target: fleet.TargetID(fmt.Sprint("t", m.lastID)), Born: int64(m.lastID)}, up: true}
 }
 
-// tell sends evidence to all others, and again as instances do.
-func (m *model) tell(from int, e Evidence) {
-	for _, again := range append([]time.Duration{0}, e.RepeatAfter()...) {
-		m.After(again, func() { m.tellOnce(from, e) })
+// send sends evidence to all other instances, and resends it as instances do.
+func (m *model) send(from int, e Evidence) {
+	for _, delay := range append([]time.Duration{0}, e.ResendDelays()...) {
+		m.After(delay, func() { m.sendOnce(from, e) })
 	}
 }
 
-func (m *model) tellOnce(from int, e Evidence) {
+func (m *model) sendOnce(from int, e Evidence) {
 	zone := from % modelZones
 	var reached [modelZones]bool // by the bridge
 	for z := range modelZones {
-		reached[z] = z == zone || m.rng.Float64() >= datagramsLost
+		reached[z] = z == zone || m.rng.Float64() >= datagramLossRate
 	}
 	for i := range m.tables {
-		if i == from || !reached[i%modelZones] || m.rng.Float64() < datagramsLost {
+		if i == from || !reached[i%modelZones] || m.rng.Float64() < datagramLossRate {
 			continue
 		}
-		delay := m.between(nearMin, nearMax)
+		delay := m.between(inZoneDelayMin, inZoneDelayMax)
 		if i%modelZones != zone {
-			delay += m.between(acrossMin, acrossMax)
+			delay += m.between(crossZoneDelayMin, crossZoneDelayMax)
 		}
-		m.After(delay, func() { m.tables[i].Take(m.time(), e.later(delay), "peer") })
+		m.After(delay, func() { m.tables[i].Merge(m.time(), e.delayed(delay), "peer") })
 	}
 }
 
-// answered lets an instance take in that a process answered, and one of the others, as if each
-// told some.
-func (m *model) answered(i int, p Process, began time.Time) {
-	m.tables[i].Answered(m.time(), p, began)
-	j, delay := m.rng.IntN(len(m.tables)), m.between(nearMin, nearMax+acrossMax)
-	m.After(delay, func() { m.tables[j].Answered(m.time(), p, began.Add(delay)) })
+// recordAnswer records at an instance that a process answered, and at a random other one, as instances
+// report a part of the answers to each other.
+func (m *model) recordAnswer(i int, p Process, began time.Time) {
+	m.tables[i].RecordAnswer(m.time(), p, began)
+	j, delay := m.rng.IntN(len(m.tables)), m.between(inZoneDelayMin, inZoneDelayMax+crossZoneDelayMax)
+	m.After(delay, func() { m.tables[j].RecordAnswer(m.time(), p, began.Add(delay)) })
 }
 
-// later is the evidence as who hears it takes it: ages are told, and the time on the way is not known.
-func (e Evidence) later(by time.Duration) Evidence {
+// delayed returns the evidence as a receiver decodes it: times are sent as ages, which lack the time in transit.
+func (e Evidence) delayed(by time.Duration) Evidence {
 	out := Evidence{Content: e.Content, Served: e.Served, Upheld: e.Upheld}
 	if !e.Served.IsZero() {
 		out.Served = e.Served.Add(by)
@@ -150,21 +150,21 @@
 	return out
 }
 
-// beat sends an instance's heartbeat to its zone.
-func (m *model) beat(i int) {
-	for _, e := range m.tables[i].Repeat() {
+// sendHeartbeat sends an instance's heartbeat to its zone.
+func (m *model) sendHeartbeat(i int) {
+	for _, e := range m.tables[i].HeartbeatEvidence() {
 		for j := range m.tables {
-			if j != i && j%modelZones == i%modelZones && m.rng.Float64() >= datagramsLost {
-				delay := m.between(nearMin, nearMax)
-				m.After(delay, func() { m.tables[j].Take(m.time(), e.later(delay), "peer") })
+			if j != i && j%modelZones == i%modelZones && m.rng.Float64() >= datagramLossRate {
+				delay := m.between(inZoneDelayMin, inZoneDelayMax)
+				m.After(delay, func() { m.tables[j].Merge(m.time(), e.delayed(delay), "peer") })
 			}
 		}
 	}
-	m.After(heartbeat, func() { m.beat(i) })
+	m.After(heartbeatInterval, func() { m.sendHeartbeat(i) })
 }
 
-// ask sends a request to an instance; done tells whether it was served.
-func (m *model) ask(content *Content, deadly bool, done func(served bool)) {
+// request sends a request to an instance. The callback receives whether it was served.
+func (m *model) request(content *Content, deadly bool, done func(served bool)) {
 	if m.down {
 		done(false)
 		return
@@ -172,7 +172,7 @@
 	i := m.rng.IntN(len(m.tables))
 	if m.tables[i].Standing(m.time(), content) == Quarantined && !m.trial(i, content) {
 		if !deadly {
-			m.wrong++
+			m.wrongRefusals++
 		}
 		done(false)
 		return
@@ -180,10 +180,10 @@
 	m.attempt(i, content, deadly, 1, done)
 }
 
-// trial tells whether an instance tries a content in quarantine again; one of them does.
+// trial reports whether an instance may try a quarantined content; one instance is responsible for each.
 func (m *model) trial(i int, c *Content) bool {
 	f := c.Fingerprint()
-	return i == int(f[len(f)-1])%len(m.tables) && m.tables[i].Trial(m.time(), c)
+	return i == int(f[len(f)-1])%len(m.tables) && m.tables[i].AllowTrial(m.time(), c)
 }
 
 func (m *model) attempt(i int, content *Content, deadly bool, number int, done func(served bool)) {
@@ -195,22 +195,22 @@
 	x := up[m.rng.IntN(len(up))]
 	process := x.process
 	a := &modelAttempt{instance: i, content: content, began: m.Now(), deadly: deadly}
-	life := m.life
-	a.then = func(lost bool) {
-		a.over = true
-		if m.life != life {
-			return // lost with its instance
+	life := m.generation
+	a.onEnd = func(lost bool) {
+		a.ended = true
+		if m.generation != life {
+			return // the instance was lost
 		}
 		if !lost {
-			m.answered(i, process, m.start.Add(a.began))
-			if e, news := m.tables[i].Served(m.time(), content); news {
-				m.tell(i, e)
+			m.recordAnswer(i, process, m.start.Add(a.began))
+			if e, ok := m.tables[i].RecordServed(m.time(), content); ok {
+				m.send(i, e)
 			}
 			done(true)
 			return
 		}
-		if e, news := m.tables[i].Lost(m.time(), content, Loss{Process: process, Began: m.start.Add(a.began), Ended: m.time()}); news {
-			m.tell(i, e)
+		if e, ok := m.tables[i].RecordLoss(m.time(), content, Loss{Process: process, Began: m.start.Add(a.began), Ended: m.time()}); ok {
+			m.send(i, e)
 		}
 		if number < maxAttempts && m.tables[i].Standing(m.time(), content) < Restricted {
 			m.attempt(i, content, deadly, number+1, done)
@@ -224,67 +224,67 @@
 		m.After(m.between(crashMin, crashMax), func() {
 			if x.process == process && x.up {
 				m.crashes[content] = append(m.crashes[content], m.Now())
-				m.end(x)
+				m.terminate(x)
 			}
 		})
 		return
 	}
 	m.After(m.between(workMin, workMax), func() {
-		if !a.over {
+		if !a.ended {
 			x.attempts = slices.DeleteFunc(x.attempts, func(b *modelAttempt) bool { return a == b })
-			a.then(false)
+			a.onEnd(false)
 		}
 	})
 }
 
-// end ends a target's process with all that it runs; another one follows.
-func (m *model) end(x *modelTarget) {
+// terminate ends a target's process and its attempts. Another process replaces it.
+func (m *model) terminate(x *modelTarget) {
 	lost := x.attempts
 	x.up, x.attempts = false, nil
-	m.After(comesBackAfter, func() { m.revive(x) })
+	m.After(restartDelay, func() { m.restart(x) })
 	for _, a := range lost {
-		m.After(m.between(nearMin, nearMax), func() { a.then(true) })
+		m.After(m.between(inZoneDelayMin, inZoneDelayMax), func() { a.onEnd(true) })
 	}
 }
 
-// deadlyCaller sends one request again and again, up to so many at once.
-func (m *model) deadlyCaller(c *Content, every time.Duration, atOnce int) {
-	for range 1 + m.rng.IntN(atOnce) {
-		m.ask(c, true, func(bool) {})
+// deadlyCaller repeats one request, with up to atOnce copies at a time.
+func (m *model) deadlyCaller(c *Content, interval time.Duration, maxParallel int) {
+	for range 1 + m.rng.IntN(maxParallel) {
+		m.request(c, true, func(bool) {})
 	}
-	m.After(every, func() { m.deadlyCaller(c, every, atOnce) })
+	m.After(interval, func() { m.deadlyCaller(c, interval, maxParallel) })
 }
 
 // popularCaller sends one innocent request on behalf of many callers.
-func (m *model) popularCaller(every time.Duration) {
-	m.ask(&Content{Method: "GET", Host: "h", URI: "/popular"}, false, func(bool) {})
-	m.After(every, func() { m.popularCaller(every) })
+func (m *model) popularCaller(interval time.Duration) {
+	m.request(&Content{Method: "GET", Host: "h", URI: "/popular"}, false, func(bool) {})
+	m.After(interval, func() { m.popularCaller(interval) })
 }
 
-// ordinaryCaller sends requests that differ, and each again a few times where it fails.
-func (m *model) ordinaryCaller(every time.Duration) {
-	m.named++
-	c := &Content{Method: "GET", Host: "h", URI: fmt.Sprint("/", m.named)}
-	tries := 0
+// ordinaryCaller sends distinct requests and retries each a few times if it fails.
+func (m *model) ordinaryCaller(interval time.Duration) {
+	m.lastID++
+	c := &Content{Method: "GET", Host: "h", URI: fmt.Sprint("/", m.lastID)}
+	attempts := 0
 	var try func()
 	try = func() {
-		tries++
-		m.ask(c, false, func(served bool) {
-			if !served && tries < callerTries {
-				m.After(callerPause, try)
+		attempts++
+		m.request(c, false, func(served bool) {
+			if !served && attempts < callerAttempts {
+				m.After(callerRetryDelay, try)
 			}
 		})
 	}
 	try()
-	m.After(every, func() { m.ordinaryCaller(every) })
+	m.After(interval, func() { m.ordinaryCaller(interval) })
 }
 
-// late counts the arrivals of a deadly request that are later than tolerated.
-func (m *model) late(c *Content) int {
+// lateArrivals counts the arrivals of a deadly request after the tolerated delay.
+func (m *model) lateArrivals(c *Content) int {
 	if len(m.crashes[c]) < 3 {
 		return 0
 	}
-	from := m.crashes[c][2] + toleratedAfter
+	from := m.crashes[c][2] + toleratedDelay
 	n := 0
 	for _, at := range m.arrivals[c] {
 		if at > from {
@@ -294,16 +294,14 @@
 	return n
 }
 
-// TestARequestThatCrashesItsTargetsIsStopped: one lookup crashed each target that began to run
-// it. It came again every 100 ms or so, to another instance each time and under another request ID. Each
-// instance put the break down to the target alone and sent the request to the next; nobody counted
-// what had ended under one content, 20 to 26 targets ended within seconds, and the service's other
-// lookups found none. What proved it: the ends followed arrivals of this one content and of nothing
-// else that they had in common.
-func TestARequestThatCrashesItsTargetsIsStopped(t *testing.T) {
+// TestDeadlyRequestIsStopped: one lookup crashed each target that ran it. It came about every 100 ms, each time
+// to another instance and under another request ID. If each instance blames only the target and retries
+// elsewhere, and nobody counts the losses per content, 20 to 26 targets crash within seconds and none is
+// left for other lookups. The crashes have only the arrival of this content in common.
+func TestDeadlyRequestIsStopped(t *testing.T) {
 	for _, instances := range []int{36, 130, 300, 920} {
 		t.Run(fmt.Sprint(instances, " instances"), func(t *testing.T) {
-			for n := range uint64(seedsOf(instances)) {
+			for n := range uint64(seedCount(instances)) {
 				seed := *first + n
 				m := newModel(t, seed, instances, modelTargets)
 				deadly := contentOf("/deadly")
@@ -312,17 +310,17 @@
 				m.After(0, func() { m.ordinaryCaller(20 * time.Millisecond) })
 				m.Run(8 * time.Second)
 				assert.Assert(t, len(m.crashes[deadly]) >= 3)
-				assert.Check(t, m.late(deadly) == 0, "seed %d: %d late arrivals, %d targets ended", seed, m.late(deadly), len(m.crashes[deadly]))
-				assert.Check(t, m.wrong == 0, "seed %d: %d other requests are refused", seed, m.wrong)
+				assert.Check(t, m.lateArrivals(deadly) == 0, "seed %d: %d late arrivals, %d targets crashed", seed, m.lateArrivals(deadly), len(m.crashes[deadly]))
+				assert.Check(t, m.wrongRefusals == 0, "seed %d: %d other requests were refused", seed, m.wrongRefusals)
 			}
 		})
 	}
 }
 
-// TestWhatIsRefusedWithADeadlyRequestIsServedAgain: in these seeds the popular request was at every end of the
-// service as traffic began, as often as the deadly one, and is refused with it. It is tried soon and served
+// TestRequestRefusedWithDeadlyOneRecovers: with these seeds the popular request was in flight at every crash
+// when traffic began, as often as the deadly one, and is refused with it. It is retried soon and served
 // from then on.
-func TestWhatIsRefusedWithADeadlyRequestIsServedAgain(t *testing.T) {
+func TestRequestRefusedWithDeadlyOneRecovers(t *testing.T) {
 	const servedAgain, tolerated = 30 * time.Second, 3
 	for _, seed := range []uint64{5023, 5093, 5231, 5396, 5663, 5760, 5763, 5786, 109464} {
 		m := newModel(t, seed, 36, modelTargets)
@@ -331,33 +329,32 @@
 		m.After(0, func() { m.popularCaller(20 * time.Millisecond) })
 		m.After(0, func() { m.ordinaryCaller(20 * time.Millisecond) })
 		m.Run(servedAgain)
-		before := m.wrong
-		m.Run(trialAfter + servedAgain)
-		assert.Check(t, m.wrong == before, "seed %d: %d other requests are refused later", seed, m.wrong-before)
-		assert.Check(t, m.late(deadly) <= tolerated, "seed %d: %d late arrivals", seed, m.late(deadly))
+		before := m.wrongRefusals
+		m.Run(trialDelay + servedAgain)
+		assert.Check(t, m.wrongRefusals == before, "seed %d: %d other requests were refused later", seed, m.wrongRefusals-before)
+		assert.Check(t, m.lateArrivals(deadly) <= tolerated, "seed %d: %d late arrivals", seed, m.lateArrivals(deadly))
 	}
 }
 
-// TestSeveralDeadlyRequestsAtOnceAreStopped: five requests crash the five targets of a service, and begin
-// within a few seconds. Each is in flight at most ends that the others bring about, so they are rivals for what was lost:
-// one that was refused already was let go again as soon as another one caught up, and reached targets for as
-// long as it came.
-func TestSeveralDeadlyRequestsAtOnceAreStopped(t *testing.T) {
+// TestConcurrentDeadlyRequestsAreStopped: five requests begin within a few seconds and crash the five targets of
+// a service. Each is in flight at most crashes caused by the others, so they compete for the same losses. A
+// quarantine must not be lifted when another content catches up, or it would keep reaching targets.
+func TestConcurrentDeadlyRequestsAreStopped(t *testing.T) {
 	const firstTrials = 12 * time.Second
-	for _, every := range []time.Duration{100 * time.Millisecond, time.Second, 4 * time.Second} {
-		t.Run(fmt.Sprint("36 instances, every ", every), func(t *testing.T) {
-			stopSeveral(t, 36, max(2, *seeds/10), every, trialAfter+30*time.Second)
+	for _, interval := range []time.Duration{100 * time.Millisecond, time.Second, 4 * time.Second} {
+		t.Run(fmt.Sprint("36 instances, interval ", interval), func(t *testing.T) {
+			testConcurrentDeadly(t, 36, max(2, *seeds/10), interval, trialDelay+30*time.Second)
 		})
 	}
 	for _, instances := range []int{130, 300, 920} {
 		t.Run(fmt.Sprint(instances, " instances"), func(t *testing.T) {
-			stopSeveral(t, instances, max(1, *seeds*36/instances/10), 100*time.Millisecond, firstTrials)
+			testConcurrentDeadly(t, instances, max(1, *seeds*36/instances/10), 100*time.Millisecond, firstTrials)
 		})
 	}
 }
 
-// stopSeveral lets five deadly requests come to a fleet for a time.
-func stopSeveral(t *testing.T, instances, runs int, every, lasts time.Duration) {
+// testConcurrentDeadly simulates five deadly requests for the given time.
+func testConcurrentDeadly(t *testing.T, instances, runs int, interval, duration time.Duration) {
 	const deadly, targets, tolerated = 5, 5, 3
 	for n := range uint64(runs) {
 		seed := *first + n
@@ -365,27 +362,27 @@
 		contents := make([]*Content, deadly)
 		for i := range contents {
 			contents[i] = contentOf(fmt.Sprint("/deadly/", i))
-			m.After(m.between(0, 5*time.Second), func() { m.deadlyCaller(contents[i], every, 1) })
+			m.After(m.between(0, 5*time.Second), func() { m.deadlyCaller(contents[i], interval, 1) })
 		}
 		m.After(0, func() { m.popularCaller(50 * time.Millisecond) })
-		m.Run(lasts)
+		m.Run(duration)
 		for _, c := range contents {
-			assert.Check(t, m.late(c) <= tolerated, "seed %d: %s has %d late arrivals, %d targets ended", seed, c.URI, m.late(c), len(m.crashes[c]))
+			assert.Check(t, m.lateArrivals(c) <= tolerated, "seed %d: %s has %d late arrivals, %d targets crashed", seed, c.URI, m.lateArrivals(c), len(m.crashes[c]))
 		}
 	}
 }
 
 var (
-	seeds = flag.Int("seeds", 20, "how many seeds the model of the smallest fleet is run with")
-	first = flag.Uint64("first", 0, "the first of them")
+	seeds = flag.Int("seeds", 20, "number of seeds for the smallest simulated fleet; larger ones use fewer")
+	first = flag.Uint64("first", 0, "first seed")
 )
 
-// seedsOf is how many seeds are run at a size.
-func seedsOf(instances int) int { return max(2, *seeds*36/instances) }
+// seedCount returns the number of seeds for a fleet of this size.
+func seedCount(instances int) int { return max(2, *seeds*36/instances) }
 
-// TestAllKnowAProofSoon: of one datagram in ten that is lost nobody stays ignorant for long.
-func TestAllKnowAProofSoon(t *testing.T) {
-	const within = 100 * time.Millisecond
+// TestProofReachesAllInstances: instances receive a proof in time even if one datagram in ten is lost.
+func TestProofReachesAllInstances(t *testing.T) {
+	const limit = 100 * time.Millisecond
 	for _, instances := range []int{36, 293, 920} {
 		t.Run(fmt.Sprint(instances, " instances"), func(t *testing.T) {
 			m := newModel(t, 1, instances, modelTargets)
@@ -395,23 +392,23 @@
 			for n := range 3 {
 				m.After(time.Duration(n)*200*time.Millisecond, func() {
 					proven = m.time()
-					e, _ := m.tables[n].Lost(m.time(), c, Loss{Process: m.targets[n].process, Began: m.time().Add(-crashMin), Ended: m.time()})
-					m.tell(n, e)
+					e, _ := m.tables[n].RecordLoss(m.time(), c, Loss{Process: m.targets[n].process, Began: m.time().Add(-crashMin), Ended: m.time()})
+					m.send(n, e)
 				})
 			}
 			m.Run(10 * time.Second)
 			late := 0
 			for _, x := range m.tables {
-				if e := x.entries[f]; e == nil || e.standing != Quarantined || e.provenAt.Sub(proven) > within {
+				if e := x.entries[f]; e == nil || e.standing != Quarantined || e.standingSince.Sub(proven) > limit {
 					late++
 				}
 			}
-			assert.Assert(t, late <= max(1, instances/100), "%d know it later", late)
+			assert.Assert(t, late <= max(1, instances/100), "%d instances did not quarantine the content in time", late)
 		})
 	}
 }
 
-// innocentModel is one in which no request is deadly.
+// innocentModel returns a model without deadly requests.
 func innocentModel(t *testing.T, seed uint64) *model {
 	m := newModel(t, seed, 36, modelTargets)
 	m.After(0, func() { m.popularCaller(10 * time.Millisecond) })
@@ -419,16 +416,17 @@
 	return m
 }
 
-// again does something every so often.
-func (m *model) again(every time.Duration, do func()) {
-	m.After(every, func() {
+// repeat runs a function at a fixed interval.
+func (m *model) repeat(interval time.Duration, do func()) {
+	m.After(interval, func() {
 		do()
-		m.again(every, do)
+		m.repeat(interval, do)
 	})
 }
 
-// some returns a target that is up, nil if there is none.
-func (m *model) some() *modelTarget {
+// randomTarget returns a random target among the first one that is up and those after it. The result may be
+// down; it is nil if no target is up.
+func (m *model) randomTarget() *modelTarget {
 	i := slices.IndexFunc(m.targets, func(x *modelTarget) bool { return x.up })
 	if i < 0 {
 		return nil
@@ -436,27 +434,27 @@
 	return m.targets[i+m.rng.IntN(len(m.targets)-i)]
 }
 
-// TestNoOtherRequestIsAccused: attempts lose their answers for many reasons that are not theirs.
-func TestNoOtherRequestIsAccused(t *testing.T) {
-	const calm, lasts = time.Second, 20 * time.Second
-	for name, trouble := range map[string]func(*model){
+// TestInnocentRequestsAreNotRefused: attempts may lose their responses for reasons unrelated to the request.
+func TestInnocentRequestsAreNotRefused(t *testing.T) {
+	const warmUp, duration = time.Second, 20 * time.Second
+	for name, inject := range map[string]func(*model){
 		"all targets are restarted at once": func(m *model) {
-			m.again(3*time.Second, func() {
+			m.repeat(3*time.Second, func() {
 				for _, x := range m.targets {
-					m.end(x)
+					m.terminate(x)
 				}
 			})
 		},
 		"targets are killed one after the other": func(m *model) {
-			m.again(300*time.Millisecond, func() {
-				if x := m.some(); x != nil && x.up {
-					m.end(x)
+			m.repeat(300*time.Millisecond, func() {
+				if x := m.randomTarget(); x != nil && x.up {
+					m.terminate(x)
 				}
 			})
 		},
-		"targets reset connections and live on": func(m *model) {
-			m.again(20*time.Millisecond, func() {
-				if x := m.some(); x != nil && x.up && m.rng.Float64() < 0.4 {
+		"targets reset connections and keep running": func(m *model) {
+			m.repeat(20*time.Millisecond, func() {
+				if x := m.randomTarget(); x != nil && x.up && m.rng.Float64() < 0.4 {
 					m.reset(x)
 				}
 			})
@@ -465,93 +463,93 @@
 		t.Run(name, func(t *testing.T) {
 			for n := range uint64(max(2, *seeds/10)) {
 				m := innocentModel(t, *first+n)
-				m.After(calm, func() { trouble(m) })
-				m.Run(lasts)
-				assert.Check(t, m.wrong == 0, "seed %d: %d requests are refused", *first+n, m.wrong)
+				m.After(warmUp, func() { inject(m) })
+				m.Run(duration)
+				assert.Check(t, m.wrongRefusals == 0, "seed %d: %d requests were refused", *first+n, m.wrongRefusals)
 			}
 		})
 	}
 }
 
-// reset breaks what a target runs; the target lives on.
+// reset breaks a target's connections. The process keeps running.
 func (m *model) reset(x *modelTarget) {
 	lost := x.attempts
 	x.attempts = nil
 	for _, a := range lost {
-		m.After(m.between(nearMin, nearMax), func() { a.then(true) })
+		m.After(m.between(inZoneDelayMin, inZoneDelayMax), func() { a.onEnd(true) })
 	}
 }
 
-// TestAServiceThatCrashesByItselfIsServedAgain: after a bad release each process of a service ends within a
-// fraction of a second of its start, whatever it is asked. Contents that many callers ask for were at all of
-// these ends, and were served nowhere. Once the release is taken back they are served again, within two
-// minutes and some seconds; and no sooner is more than one target spent on any of them.
-func TestAServiceThatCrashesByItselfIsServedAgain(t *testing.T) {
-	const broken, patience = 40 * time.Second, 10 * time.Second
+// TestServiceCrashingByItselfRecovers: after a bad release each process crashes within a fraction of a second
+// of its start, whatever the requests. Popular contents were in flight at all of these crashes and were never
+// served. After a rollback they are served again within two minutes and some seconds; until then
+// at most one target is spent on each.
+func TestServiceCrashingByItselfRecovers(t *testing.T) {
+	const faultyFor, margin = 40 * time.Second, 10 * time.Second
 	m := newModel(t, 1, 36, modelTargets)
 	uris := []string{"/popular", "/second", "/third"}
 	for i, uri := range uris {
-		m.again(time.Duration(20+i)*time.Millisecond, func() {
-			m.ask(&Content{Method: "GET", Host: "h", URI: uri}, false, func(bool) {})
+		m.repeat(time.Duration(20+i)*time.Millisecond, func() {
+			m.request(&Content{Method: "GET", Host: "h", URI: uri}, false, func(bool) {})
 		})
 	}
-	m.again(20*time.Millisecond, func() {
-		if x := m.some(); x != nil && x.up && m.Now() < broken {
-			m.end(x)
+	m.repeat(20*time.Millisecond, func() {
+		if x := m.randomTarget(); x != nil && x.up && m.Now() < faultyFor {
+			m.terminate(x)
 		}
 	})
-	m.Run(broken + trialAfter + patience)
-	before := m.wrong
-	m.Run(broken + trialAfter + 2*patience)
-	assert.Equal(t, m.wrong-before, 0, "requests that are still refused")
+	m.Run(faultyFor + trialDelay + margin)
+	before := m.wrongRefusals
+	m.Run(faultyFor + trialDelay + 2*margin)
+	assert.Equal(t, m.wrongRefusals-before, 0, "requests are still refused")
 }
 
-// Times of the model's store, which a few instances keep in line and new processes read as they start.
+// Times of the model's store, which a few instances update and new processes read at startup.
 const (
-	keepEvery  = 250 * time.Millisecond
-	keptWithin = 20 * time.Millisecond
-	downFor    = time.Second
-	loadsAfter = 50 * time.Millisecond
+	storeInterval = 250 * time.Millisecond
+	storeLatency  = 20 * time.Millisecond
+	downtime      = time.Second
+	loadDelay     = 50 * time.Millisecond
 )
 
-// keep copies what outlives the instances to the model's store, as one that reads it does.
-func (m *model) keep() {
-	if !m.unread {
-		kept := slices.Collect(maps.Values(m.tables[0].Keep(m.time())))
-		m.After(keptWithin, func() {
-			if !m.unread {
-				m.kept = kept
+// storeSnapshot copies the snapshot of one instance to the model's store.
+func (m *model) storeSnapshot() {
+	if !m.storeUnread {
+		kept := slices.Collect(maps.Values(m.tables[0].Snapshot(m.time())))
+		m.After(storeLatency, func() {
+			if !m.storeUnread {
+				m.stored = kept
 			}
 		})
 	}
-	m.After(keepEvery, m.keep)
+	m.After(storeInterval, m.storeSnapshot)
 }
 
-// loseAll ends all instances; new ones take over what the store has kept.
-func (m *model) loseAll() {
+// restartAll ends all instances. New ones load the contents of the store.
+func (m *model) restartAll() {
 	m.down = true
-	m.life++
+	m.generation++
 	for i := range m.tables {
 		m.tables[i] = New(func(Change) {})
 	}
-	m.After(downFor, func() { m.down = false })
-	m.unread = true
-	m.After(downFor+loadsAfter, func() {
-		m.unread = false
+	m.After(downtime, func() { m.down = false })
+	m.storeUnread = true
+	m.After(downtime+loadDelay, func() {
+		m.storeUnread = false
 		for i := range modelZones {
-			for _, k := range m.kept {
-				m.tables[i].Take(m.time(), k, "store")
-				m.tell(i, k)
+			for _, k := range m.stored {
+				m.tables[i].Merge(m.time(), k, "store")
+				m.send(i, k)
 			}
 		}
 	})
 }
 
-// throughTheLossOfAll lets deadly requests come to a fleet of which all instances are lost once, and tells of each that
-// reaches more targets late than is tolerated.
-func throughTheLossOfAll(t *testing.T, instances, deadly int, seed uint64) {
+// testLossOfAllInstances simulates deadly requests during the loss of all instances, and fails for each that
+// reaches more targets late than tolerated.
+func testLossOfAllInstances(t *testing.T, instances, deadly int, seed uint64) {
 	t.Helper()
-	const tolerated, targets, lasts = 3, 12, 14 * time.Second
+	const tolerated, targets, duration = 3, 12, 14 * time.Second
 	m := newModel(t, seed, instances, targets)
 	contents := make([]*Content, deadly)
 	for i := range contents {
@@ -559,31 +557,31 @@
 		m.After(m.between(0, 2*time.Second), func() { m.deadlyCaller(contents[i], 100*time.Millisecond, 1) })
 	}
 	m.After(0, func() { m.popularCaller(20 * time.Millisecond) })
-	m.After(0, m.keep)
-	m.After(m.between(500*time.Millisecond, 8*time.Second), m.loseAll)
-	m.Run(lasts)
+	m.After(0, m.storeSnapshot)
+	m.After(m.between(500*time.Millisecond, 8*time.Second), m.restartAll)
+	m.Run(duration)
 	for _, c := range contents {
-		assert.Check(t, m.late(c) <= tolerated, "%d instances, %d deadly, seed %d: %s has %d late arrivals, %d targets ended", instances, deadly, seed, c.URI, m.late(c), len(m.crashes[c]))
+		assert.Check(t, m.lateArrivals(c) <= tolerated, "%d instances, %d deadly, seed %d: %s has %d late arrivals, %d targets crashed", instances, deadly, seed, c.URI, m.lateArrivals(c), len(m.crashes[c]))
 	}
 }
 
-// TestDeadlyRequestsAreStoppedThroughTheLossOfAll: what was held against contents that were not yet known to be at fault was
-// forgotten as all instances were lost, so that each cost as many targets again; and of what the store had kept only who
-// read it was sure.
-func TestDeadlyRequestsAreStoppedThroughTheLossOfAll(t *testing.T) {
+// TestDeadlyRequestsAreStoppedAcrossLossOfAllInstances: the loss of all instances must not discard the evidence on
+// contents that are not yet quarantined, or each costs as many targets again; and instances that have not
+// read the store must learn of settled quarantines from those that have.
+func TestDeadlyRequestsAreStoppedAcrossLossOfAllInstances(t *testing.T) {
 	for _, instances := range []int{36, 130, 300, 920} {
 		for n := range uint64(max(1, *seeds*36/instances/4)) {
 			for _, deadly := range []int{1, 2} {
-				throughTheLossOfAll(t, instances, deadly, *first+n)
+				testLossOfAllInstances(t, instances, deadly, *first+n)
 			}
 		}
 	}
 }
 
-// TestFiveDeadlyRequestsThroughTheLossOfAll: as many at once are told apart late, and what is known of one before its third
-// loss is not kept.
+// TestFiveDeadlyRequestsThroughTheLossOfAll: five concurrent deadly requests are distinguished late, and evidence
+// on a content with fewer than three losses is not stored.
 func TestFiveDeadlyRequestsThroughTheLossOfAll(t *testing.T) {
 	for _, seed := range []uint64{6, 21, 50} {
-		throughTheLossOfAll(t, 36, 5, seed)
+		testLossOfAllInstances(t, 36, 5, seed)
 	}
 }
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -7,116 +7,116 @@
 	"time"
 )
 
-// Bounds of what proves that a content crashes its targets.
+// Thresholds for the proof that a content crashes its targets.
 const (
-	// settling is how long a proof must stand before requests are refused for it: news of one crash
-	// comes from all instances that had attempts there, and which of them was at fault is only known
-	// once it is all there, repeats of lost datagrams included.
-	settling = 100 * time.Millisecond
-	// requiredLead is by how many losses a content must be ahead of another that was lost at the same
-	// processes to be known as the one at fault, and requiredLeadKept to remain it: the next crashes tell
-	// them apart.
-	requiredLead     = 2
-	requiredLeadKept = 1
-	// rivalShare: a content with less than a half of another's losses does not cast doubt on it.
-	rivalShare = 2
-	// foreignWindow is how long before a content's first loss losses at other processes still speak
-	// for the content: then targets end or break off without it too. For each of them the proof
-	// takes one loss more.
-	foreignWindow = 5 * time.Second
-	// maxProof bounds what a content may cost while something speaks for it: with so many losses that followed
-	// each other, or one of them late, it is refused, and tried again soon.
-	maxProof = 6
-	// lateAfter is how long after the third loss further ones are late: by then all instances are to know.
+	// settlingTime is how long a proof must stand before requests are refused for it. Evidence on one
+	// crash arrives from all instances that had attempts at the process, and the content at fault can only be
+	// determined once all of it has arrived, including resent datagrams.
+	settlingTime = 100 * time.Millisecond
+	// requiredLead is how many more losses a content needs than another one with losses at the same
+	// processes to be considered at fault, and requiredLeadSettled applies once its quarantine has
+	// settled. Further crashes distinguish the two.
+	requiredLead        = 2
+	requiredLeadSettled = 1
+	// rivalDivisor limits rivals: a content with less than 1/rivalDivisor of another's losses casts no doubt on it.
+	rivalDivisor = 2
+	// unrelatedWindow is how long before a content's first loss the losses at other processes still
+	// count as exonerating: targets then crash or reset connections without the content too. Each of
+	// them raises the number of losses that the proof requires by one.
+	unrelatedWindow = 5 * time.Second
+	// maxChainLen limits the cost of a content that has exonerating evidence: with this many consecutive
+	// losses, or a late one, it is refused, and a trial follows soon.
+	maxChainLen = 6
+	// lateAfter is how long after the third loss further ones are late: all instances should have the proof by then.
 	lateAfter = 3 * time.Second
-	// lossMemory is how long it is remembered that a process lost an answer.
-	lossMemory = time.Minute
-	// maxAccused bounds the contents that are compared with each other.
-	maxAccused = 64
+	// processLossTTL is how long the last loss at a process is stored.
+	processLossTTL = time.Minute
+	// maxCandidates bounds the contents that are compared with each other.
+	maxCandidates = 64
 )
 
-// accuse finds the contents that crash their targets: the fewest that explain the losses. Of
-// those that may, the one that was refused first and then the one that was lost at most processes comes first;
-// what else was lost at these was there by chance. So the requests that a deadly one takes with it
-// are not accused, and one that was is cleared once the other is known.
+// judge determines the contents that crash their targets: the smallest set that explains the losses. It
+// goes through the candidates in order: settled quarantines first, the oldest leading, then by number of losses.
+// Losses of other contents at the same processes are considered coincidental. So requests that were in flight
+// when a deadly one crashed the target are not blamed, and a blamed one is cleared once the deadly one is found.
 //
-// A quarantine that has settled is not lifted because another content may be at fault as well: of several
-// deadly ones each would set the others free. It is doubted instead, explains nothing, and is tried soon. Doubted
-// is also one of which too few losses remain without the processes at which another one was lost that may be at fault.
-func (t *Table) accuse(now time.Time, from string) {
-	accused := slices.SortedFunc(maps.Keys(t.accusable), func(a, b *entry) int {
-		return cmp.Or(a.settledBefore(now, b), cmp.Compare(len(b.losses), len(a.losses)), byContent(a, b))
+// A settled quarantine is not lifted because another content may be at fault as well: several deadly
+// contents would otherwise release each other. The content is marked as doubted instead, gets no losses attributed, and
+// is retried soon. A content is also doubted if too few losses remain without the processes it shares with other candidates.
+func (t *Table) judge(now time.Time, from string) {
+	candidates := slices.SortedFunc(maps.Keys(t.candidates), func(a, b *entry) int {
+		return cmp.Or(a.compareSettled(now, b), cmp.Compare(len(b.losses), len(a.losses)), byContent(a, b))
 	})
-	accused, rest := accused[:min(len(accused), maxAccused)], accused[min(len(accused), maxAccused):]
-	before := t.explained
-	t.explained = make(explanations)
-	at := byProcess(accused)
+	candidates, rest := candidates[:min(len(candidates), maxCandidates)], candidates[min(len(candidates), maxCandidates):]
+	before := t.attributed
+	t.attributed = make(attributions)
+	at := groupByProcess(candidates)
 	refused := make(map[*entry]bool)
-	for _, e := range accused {
-		sure := t.proven(now, e) && !t.contested(now, e, at)
-		refused[e] = sure || e.exhausted(t.explained) || (e.settled(now) || e.upheld) && e.stands()
-		e.doubted = !sure || e.alone(at) < int(Quarantined)
-		if sure {
-			t.explained.add(e)
+	for _, e := range candidates {
+		atFault := t.proven(now, e) && !t.contested(now, e, at)
+		refused[e] = atFault || e.atCostLimit(t.attributed) || (e.settled(now) || e.upheld) && e.hasFullChain()
+		e.doubted = !atFault || e.unsharedLosses(at) < int(Quarantined)
+		if atFault {
+			t.attributed.attribute(e)
 		}
 	}
-	for _, e := range slices.Concat(accused, rest) {
+	for _, e := range slices.Concat(candidates, rest) {
 		s := Quarantined
 		if !refused[e] {
-			s = min(e.proves(t.explained), Restricted)
+			s = min(e.provenStanding(t.attributed), Restricted)
 		}
-		t.set(now, e, s, from)
+		t.setStanding(now, e, s, from)
 	}
-	if maps.Equal(before, t.explained) {
+	if maps.Equal(before, t.attributed) {
 		return
 	}
 	for _, e := range t.entries {
-		if !e.accusable() {
-			t.set(now, e, e.proves(t.explained), from)
+		if !e.isCandidate() {
+			t.setStanding(now, e, e.provenStanding(t.attributed), from)
 		}
 	}
 }
 
-// proven tells whether the losses that followed each other are too many to be chance. What is lost
-// elsewhere does not lift a quarantine that has settled.
+// proven reports whether the content has too many consecutive losses for chance. Losses
+// of other contents do not lift a settled quarantine.
 func (t *Table) proven(now time.Time, e *entry) bool {
-	n := e.sequential(t.explained)
+	n := e.chainLen(t.attributed)
 	switch {
 	case n < int(Quarantined):
 		return false
-	case n >= maxProof, e.settled(now):
+	case n >= maxChainLen, e.settled(now):
 		return true
 	}
-	return n >= int(Quarantined)+t.foreign(e)
+	return n >= int(Quarantined)+t.unrelatedLosses(e)
 }
 
-// foreign is how many processes were lost around a content's losses, and neither to it nor to one that is
-// known to be at fault.
-func (t *Table) foreign(e *entry) int {
+// unrelatedLosses counts the processes lost around the time of a content's losses that have neither a loss
+// of the content nor one that is attributed to another content.
+func (t *Table) unrelatedLosses(e *entry) int {
 	var since time.Time
-	for first := range e.chain(t.explained) {
-		since = first.Began.Add(-foreignWindow)
+	for first := range e.chain(t.attributed) {
+		since = first.Began.Add(-unrelatedWindow)
 		break
 	}
 	n := 0
-	for p, ended := range t.lostAt {
-		if !e.lostAt(p) && t.explained.counts(e.content, p) && ended.After(since) {
+	for p, ended := range t.lastLoss {
+		if !e.hasLossAt(p) && t.attributed.countsAgainst(e.content, p) && ended.After(since) {
 			n++
 		}
 	}
 	return n
 }
 
-// contested tells whether another content may be at fault in place of this one: one that was lost at the same
-// processes and about as often.
+// contested reports whether another content may be at fault instead: one with losses at the same
+// processes and about as many.
 func (t *Table) contested(now time.Time, e *entry, at map[Process][]*entry) bool {
-	ahead := requiredLead
+	lead := requiredLead
 	if e.settled(now) {
-		ahead = requiredLeadKept
+		lead = requiredLeadSettled
 	}
 	shared := make(map[*entry]int)
 	for _, l := range e.losses {
-		if !t.explained.counts(e.content, l.Process) {
+		if !t.attributed.countsAgainst(e.content, l.Process) {
 			continue
 		}
 		for _, other := range at[l.Process] {
@@ -125,17 +125,17 @@
 	}
 	own := shared[e]
 	for other, n := range shared {
-		if other != e && n >= int(Quarantined) && other.held(t.explained)+ahead > own {
+		if other != e && n >= int(Quarantined) && other.countedLosses(t.attributed)+lead > own {
 			return true
 		}
 	}
 	return false
 }
 
-// byProcess lists the contents that were lost at each process.
-func byProcess(accused []*entry) map[Process][]*entry {
+// groupByProcess returns the contents with a loss at each process.
+func groupByProcess(candidates []*entry) map[Process][]*entry {
 	at := make(map[Process][]*entry)
-	for _, e := range accused {
+	for _, e := range candidates {
 		for _, l := range e.losses {
 			at[l.Process] = append(at[l.Process], e)
 		}
@@ -143,13 +143,13 @@
 	return at
 }
 
-func (t *Table) set(now time.Time, e *entry, s Standing, from string) {
+func (t *Table) setStanding(now time.Time, e *entry, s Standing, from string) {
 	before := e.standing
 	e.standing = s
 	if s == before {
 		return
 	}
-	e.provenAt = now
+	e.standingSince = now
 	e.restricted = e.restricted || s >= Restricted
-	t.report(Change{Evidence: e.evidence(t.explained), Before: before, Now: s, From: from})
+	t.report(Change{Evidence: e.evidence(t.attributed), Before: before, Now: s, From: from})
 }
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -11,24 +11,24 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// ReportPath is where an instance lists the contents under restriction for its operators, and below it, by
-// the content's name, where it lifts one.
+// ReportPath is the path at which an instance lists restricted and quarantined contents for operators.
+// A content is lifted at the path below it that ends in its fingerprint.
 const ReportPath = "/contents"
 
-// Report is what an operator reads of a content under restriction.
+// Report describes a restricted or quarantined content to operators.
 type Report struct {
 	Content  string `json:"content"`
 	Standing string `json:"standing"`
-	// Doubted tells that it may be refused for another one's crashes.
+	// Doubted reports that the losses may be the fault of another content.
 	Doubted bool `json:"doubted,omitempty"`
-	// Targets are those whose answers were lost, in this order.
+	// Targets are the targets that lost responses, in order of the losses.
 	Targets []fleet.TargetID `json:"targets"`
-	// LastLoss is when the last answer was lost, Until when the content is tried again or its quarantine ends.
+	// LastLoss is when the last response was lost. Until is when the next trial is due or the quarantine ends.
 	LastLoss time.Time  `json:"last_loss"`
 	Until    *time.Time `json:"until,omitempty"`
 }
 
-// Reports lists the contents under restriction, those that are held the most first.
+// Reports lists the restricted and quarantined contents, quarantined ones first.
 func (t *Table) Reports() []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -63,8 +63,8 @@
 	return r
 }
 
-// Lift ends what is held against a content, as a success does, and returns what the others are to be
-// told; false if nothing is.
+// Lift drops the losses of a content, as a success does, and returns the evidence to send to the
+// other instances. It returns false if the content has no losses.
 func (t *Table) Lift(now time.Time, f Fingerprint) (Evidence, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,16 +72,16 @@
 	if e == nil || len(e.losses) == 0 {
 		return Evidence{}, false
 	}
-	t.change(now, e, fromOperator, func() bool { return e.serve(now) })
+	t.update(now, e, fromOperator, func() bool { return e.markServed(now) })
 	return Evidence{Content: f, Served: now}, true
 }
 
-// ParseFingerprint reads a fingerprint as String writes it.
+// ParseFingerprint parses the format of Fingerprint.String.
 func ParseFingerprint(s string) (Fingerprint, error) {
 	var f Fingerprint
 	b, err := hex.DecodeString(s)
 	if err != nil || len(b) != len(f) {
-		return f, errors.Errorf("%q is no content: want %d hexadecimal digits", s, 2*len(f))
+		return f, errors.Errorf("%q is not a content fingerprint: want %d hexadecimal digits", s, 2*len(f))
 	}
 	copy(f[:], b)
 	return f, nil
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -11,91 +11,91 @@
 )
 
 const (
-	// KeepFor is how long a loss is held against a content: a quarantine ends so long after the
-	// losses that prove it. A content that crashes its targets costs three of them in this time.
-	KeepFor = 30 * time.Minute
-	// trialAfter is how long after its last loss a content in quarantine is tried again, and
-	// trialGrowth what that grows by with each trial that failed. A service may have crashed by itself,
-	// and what many ask for was always there; maxTrials keeps what a deadly content may cost.
-	trialAfter  = 2 * time.Minute
+	// LossTTL is how long a loss counts against a content. A quarantine ends this long after the
+	// losses that prove it, so a deadly content costs three targets per LossTTL.
+	LossTTL = 30 * time.Minute
+	// trialDelay is the time from a content's last loss to the next trial, multiplied by
+	// trialGrowth for each failed trial. Trials release contents that were blamed for a service that crashed by
+	// itself, such as popular requests that were always in flight. maxTrials limits the cost of a deadly content.
+	trialDelay  = 2 * time.Minute
 	trialGrowth = 8
 	maxTrials   = 2
-	// trialSoon takes the place of trialAfter for a content that may be refused for another one's
-	// crashes, and trialSpread sets the trials of such contents apart: one crash would fail all that
-	// run with it. They wait until no process was lost for calmFor.
-	trialSoon   = 2 * time.Second
-	trialSpread = 2 * time.Second
-	calmFor     = time.Second
-	// trialTimeout is how long a trial is waited for.
+	// doubtedTrialDelay replaces trialDelay for a content that may be refused because of another one's
+	// crashes. trialSpread staggers the trials of such contents, as one crash would fail all concurrent
+	// trials. They wait until no process was lost for quietPeriod.
+	doubtedTrialDelay = 2 * time.Second
+	trialSpread       = 2 * time.Second
+	quietPeriod       = time.Second
+	// trialTimeout is how long the result of a trial is awaited.
 	trialTimeout = 30 * time.Second
-	// maxTransit bounds how late news is that others tell: times are told as ages, and that on the way
-	// is not in them.
+	// maxTransit bounds the error of times received from peers: times are sent as ages, which
+	// do not include the time in transit.
 	maxTransit = 250 * time.Millisecond
-	// servedFor is how long a success is remembered, so that a loss before it that is told late
-	// counts for nothing.
-	servedFor = 30 * time.Second
-	// maxContents bounds the contents that are known. Beyond it those make room that are held the least
-	// and the longest, of a few that are looked at.
+	// servedTTL is how long a success is stored, so that earlier losses that are received later
+	// are ignored.
+	servedTTL = 30 * time.Second
+	// maxContents bounds the number of contents in the table. Beyond it the entry with the lowest standing,
+	// and among these the least recently changed, of evictionSample random ones is evicted.
 	maxContents    = 4096
 	evictionSample = 8
-	// tidyEvery is the time between looks for what is over.
-	tidyEvery = time.Second
-	// filterSlots is the size of the filter by which a request that is not in the table is told from
-	// others without its fingerprint.
+	// cleanupInterval is the time between removals of expired state.
+	cleanupInterval = time.Second
+	// filterSlots is the size of the counting filter that recognizes requests that are not in the table
+	// without computing their fingerprint.
 	filterSlots = 1 << 14
-	// heartbeatLosses bounds the losses of which one heartbeat tells.
-	heartbeatLosses = 12
+	// maxHeartbeatLosses bounds the losses sent in one heartbeat.
+	maxHeartbeatLosses = 12
 )
 
-// repeatAfter are the times after which evidence is told again.
-var repeatAfter = []time.Duration{30 * time.Millisecond, 60 * time.Millisecond}
+// resendDelays are the delays after which evidence is sent again.
+var resendDelays = []time.Duration{30 * time.Millisecond, 60 * time.Millisecond}
 
-// RepeatAfter are the times after which the instance tells the evidence again: a datagram may be lost,
-// and all are to refuse a content within 100 ms of what proves it, and to serve it once it was
-// served. A single loss is told once, as most are nobody's fault.
-func (e *Evidence) RepeatAfter() []time.Duration {
+// ResendDelays returns the delays after which the instance sends the evidence again. Datagrams may be lost,
+// and all instances should refuse a content within 100 ms of the proof, and serve it again once it was
+// served. A single loss is sent once, as most are not caused by the request.
+func (e *Evidence) ResendDelays() []time.Duration {
 	if len(e.Losses) == 1 {
 		return nil
 	}
-	return repeatAfter
+	return resendDelays
 }
 
-// Table is what an instance knows of contents that may crash their targets. It is safe for concurrent use.
+// Table holds an instance's evidence on contents that may crash their targets. It is safe for concurrent use.
 type Table struct {
 	report func(Change)
 
-	// size is how many contents are known, and filter how many of them have a head that falls into
-	// each place.
+	// size is the number of contents, and filter counts them by
+	// short hash modulo filterSlots.
 	size   atomic.Int64
 	filter [filterSlots]atomic.Int32
 
 	mu      sync.Mutex
 	entries map[Fingerprint]*entry
-	// accusable are the contents that may be at fault for what was lost.
-	accusable map[*entry]struct{}
-	// watched are, for each process, the contents with a loss that its next answer would refute.
-	watched map[Process]map[*entry]struct{}
-	// lostAt is when a process last lost an answer, whatever became known of the content since.
-	lostAt    map[Process]time.Time
-	explained explanations
-	// repeated is the content that was told again last.
-	repeated Fingerprint
-	// ticked is when what is over was last dropped.
-	ticked time.Time
+	// candidates are the contents with enough losses to be at fault.
+	candidates map[*entry]struct{}
+	// byProcess holds, for each process, the contents with a loss that a later response would refute.
+	byProcess map[Process]map[*entry]struct{}
+	// lastLoss is when a process last lost a response, whatever the content's standing is since.
+	lastLoss   map[Process]time.Time
+	attributed attributions
+	// lastRepeated is the content that a heartbeat last included.
+	lastRepeated Fingerprint
+	// lastCleanup is when expired state was last removed.
+	lastCleanup time.Time
 }
 
-// New returns a table that knows nothing and reports changes of standing.
+// New returns an empty table that reports changes of standing.
 func New(report func(Change)) *Table {
 	return &Table{
-		report: report, entries: make(map[Fingerprint]*entry), accusable: make(map[*entry]struct{}),
-		watched: make(map[Process]map[*entry]struct{}), lostAt: make(map[Process]time.Time),
+		report: report, entries: make(map[Fingerprint]*entry), candidates: make(map[*entry]struct{}),
+		byProcess: make(map[Process]map[*entry]struct{}), lastLoss: make(map[Process]time.Time),
 	}
 }
 
-// Standing returns what may be done with a request. One of which nothing is known costs no
-// lock and no allocation.
+// Standing returns the standing of a request. For a content that is not in the table it takes no
+// lock and does not allocate.
 func (t *Table) Standing(now time.Time, c *Content) Standing {
-	if !t.mayKnow(c) {
+	if !t.mayContain(c) {
 		return Unsuspected
 	}
 	f := c.Fingerprint()
@@ -111,22 +111,22 @@
 	return e.standing
 }
 
-// Proof returns what keeps a content in quarantine and when it is tried next, or the quarantine ends;
-// false if it is in none.
+// Proof returns the evidence for a content's quarantine and when the next trial is due or the quarantine ends.
+// It returns false if the content is not quarantined.
 func (t *Table) Proof(c *Content) (e Evidence, until time.Time, ok bool) {
 	f := c.Fingerprint()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := t.entries[f]
-	if known == nil || known.standing != Quarantined {
+	stored := t.entries[f]
+	if stored == nil || stored.standing != Quarantined {
 		return Evidence{}, time.Time{}, false
 	}
-	return known.evidence(t.explained), known.until(), true
+	return stored.evidence(t.attributed), stored.until(), true
 }
 
-// Trial tells whether a request in quarantine may be sent to one target, to see whether it still
-// crashes it. It is asked on one instance of the fleet only.
-func (t *Table) Trial(now time.Time, c *Content) bool {
+// AllowTrial reports whether a quarantined request may be sent to one target to check whether it still
+// crashes it. Only one instance of the fleet calls it for a given content.
+func (t *Table) AllowTrial(now time.Time, c *Content) bool {
 	f := c.Fingerprint()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -135,61 +135,61 @@
 		return false
 	}
 	due, ok := e.trialDue()
-	if !ok || now.Before(due) || now.Before(e.tryingUntil) || e.tried > maxTrials {
+	if !ok || now.Before(due) || now.Before(e.trialDeadline) || e.trials > maxTrials {
 		return false
 	}
-	if e.doubted && !t.calm(now) && now.Before(due.Add(trialAfter)) {
+	if e.doubted && !t.quiet(now) && now.Before(due.Add(trialDelay)) {
 		return false
 	}
-	e.tried++
-	e.tryingUntil = now.Add(trialTimeout)
+	e.trials++
+	e.trialDeadline = now.Add(trialTimeout)
 	return true
 }
 
-// calm tells whether no process was lost for a while.
-func (t *Table) calm(now time.Time) bool {
-	for _, ended := range t.lostAt {
-		if now.Sub(ended) < calmFor {
+// quiet reports whether no process was lost within the quiet period.
+func (t *Table) quiet(now time.Time) bool {
+	for _, ended := range t.lastLoss {
+		if now.Sub(ended) < quietPeriod {
 			return false
 		}
 	}
 	return true
 }
 
-// mayKnow tells false of a content that is not in the table.
-func (t *Table) mayKnow(c *Content) bool {
-	return t.size.Load() > 0 && t.filter[c.head()%filterSlots].Load() > 0
+// mayContain returns false only for a content that is not in the table.
+func (t *Table) mayContain(c *Content) bool {
+	return t.size.Load() > 0 && t.filter[c.shortHash()%filterSlots].Load() > 0
 }
 
-// Lost takes in an attempt of this instance whose answer was lost, and returns what the others are
-// to be told. It tells false if another content explains the loss.
-func (t *Table) Lost(now time.Time, c *Content, l Loss) (Evidence, bool) {
+// RecordLoss records an attempt of this instance that lost its response, and returns the evidence to send to the
+// other instances. It returns false if the loss is attributed to another content.
+func (t *Table) RecordLoss(now time.Time, c *Content, l Loss) (Evidence, bool) {
 	f := c.Fingerprint()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entry(now, f)
-	t.noteLoss(l)
-	t.change(now, e, fromSelf, func() bool { return e.add(l) })
-	if !t.explained.counts(f, l.Process) {
+	t.recordProcessLoss(l)
+	t.update(now, e, fromSelf, func() bool { return e.addLoss(l) })
+	if !t.attributed.countsAgainst(f, l.Process) {
 		return Evidence{}, false
 	}
-	out := e.evidence(t.explained)
+	out := e.evidence(t.attributed)
 	if !slices.ContainsFunc(out.Losses, func(x Loss) bool { return x.Process == l.Process }) {
 		out.Losses = append(out.Losses, l)
 	}
 	return out, true
 }
 
-// Sources of a change other than peers and targets: this instance, what is over, an operator.
+// Sources of a change other than peers and targets: this instance, expiry and an operator.
 const (
 	fromSelf     = "self"
 	fromTime     = "time"
 	fromOperator = "operator"
 )
 
-// Served takes in a success of this instance. It tells false if the others need not know.
-func (t *Table) Served(now time.Time, c *Content) (Evidence, bool) {
-	if !t.mayKnow(c) {
+// RecordServed records a success of this instance. It returns false if there is no evidence to send.
+func (t *Table) RecordServed(now time.Time, c *Content) (Evidence, bool) {
+	if !t.mayContain(c) {
 		return Evidence{}, false
 	}
 	f := c.Fingerprint()
@@ -200,53 +200,53 @@
 		return Evidence{}, false
 	}
 	suspected := len(e.losses) > 0
-	t.change(now, e, fromSelf, func() bool { return e.serve(now) })
+	t.update(now, e, fromSelf, func() bool { return e.markServed(now) })
 	if !suspected {
 		return Evidence{}, false
 	}
 	return Evidence{Content: f, Served: now}, true
 }
 
-// Answered takes in that a process answered an attempt that began at the given time: it had not
-// crashed before.
-func (t *Table) Answered(now time.Time, p Process, began time.Time) {
+// RecordAnswer records that a process answered an attempt that began at the given time: it had not
+// crashed before that.
+func (t *Table) RecordAnswer(now time.Time, p Process, began time.Time) {
 	if t.size.Load() == 0 {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.watched[p]) == 0 {
+	if len(t.byProcess[p]) == 0 {
 		return
 	}
-	for _, e := range slices.SortedFunc(maps.Keys(t.watched[p]), byContent) {
-		t.change(now, e, string(p.Target), func() bool { return e.answered(p, began) })
+	for _, e := range slices.SortedFunc(maps.Keys(t.byProcess[p]), byContent) {
+		t.update(now, e, string(p.Target), func() bool { return e.refuteLoss(p, began) })
 	}
 }
 
-// Take takes in what another instance told.
-func (t *Table) Take(now time.Time, told Evidence, from string) {
+// Merge merges evidence received from another instance.
+func (t *Table) Merge(now time.Time, received Evidence, from string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.entries[told.Content] == nil && len(told.Losses) == 0 {
+	if t.entries[received.Content] == nil && len(received.Losses) == 0 {
 		return
 	}
-	e := t.entry(now, told.Content)
-	t.change(now, e, from, func() bool {
-		changed := e.serve(told.Served)
-		for _, l := range told.Losses {
-			t.noteLoss(l)
-			changed = e.add(l) || changed
+	e := t.entry(now, received.Content)
+	t.update(now, e, from, func() bool {
+		changed := e.markServed(received.Served)
+		for _, l := range received.Losses {
+			t.recordProcessLoss(l)
+			changed = e.addLoss(l) || changed
 		}
-		if told.Upheld && !e.upheld && e.accusable() {
+		if received.Upheld && !e.upheld && e.isCandidate() {
 			e.upheld, changed = true, true
 		}
 		return changed
 	})
 }
 
-// Repeat returns what the instance tells again with a heartbeat: some of the contents under restriction,
-// and of those that were until a moment ago.
-func (t *Table) Repeat() []Evidence {
+// HeartbeatEvidence returns the evidence to include in the next heartbeat: some of the restricted and
+// quarantined contents, and of those that were until recently.
+func (t *Table) HeartbeatEvidence() []Evidence {
 	if t.size.Load() == 0 {
 		return nil
 	}
@@ -259,68 +259,68 @@
 		}
 	}
 	slices.SortFunc(repeated, byContent)
-	next, _ := slices.BinarySearchFunc(repeated, t.repeated, func(e *entry, last Fingerprint) int {
-		return cmp.Or(bytes.Compare(e.content[:], last[:]), -1) // each takes its turn
+	next, _ := slices.BinarySearchFunc(repeated, t.lastRepeated, func(e *entry, last Fingerprint) int {
+		return cmp.Or(bytes.Compare(e.content[:], last[:]), -1) // round-robin
 	})
 	var out []Evidence
 	losses := 0
 	for _, e := range slices.Concat(repeated[next:], repeated[:next]) {
-		told := e.evidence(t.explained)
-		if losses += max(len(told.Losses), 1); losses > heartbeatLosses && len(out) > 0 {
+		evidence := e.evidence(t.attributed)
+		if losses += max(len(evidence.Losses), 1); losses > maxHeartbeatLosses && len(out) > 0 {
 			break
 		}
-		t.repeated = e.content
-		out = append(out, told)
+		t.lastRepeated = e.content
+		out = append(out, evidence)
 	}
 	return out
 }
 
-// Tick drops what is over.
+// Tick removes expired state.
 func (t *Table) Tick(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now.Sub(t.ticked) < tidyEvery {
+	if now.Sub(t.lastCleanup) < cleanupInterval {
 		return
 	}
-	t.ticked = now
-	maps.DeleteFunc(t.lostAt, func(_ Process, ended time.Time) bool { return now.Sub(ended) > lossMemory })
-	over := func(l Loss) bool { return now.Sub(l.Ended) > KeepFor }
+	t.lastCleanup = now
+	maps.DeleteFunc(t.lastLoss, func(_ Process, ended time.Time) bool { return now.Sub(ended) > processLossTTL })
+	expired := func(l Loss) bool { return now.Sub(l.Ended) > LossTTL }
 	for _, e := range t.entries {
-		if len(e.losses) > 0 && over(e.losses[0]) {
-			t.change(now, e, fromTime, func() bool { return e.dropLosses(over) })
+		if len(e.losses) > 0 && expired(e.losses[0]) {
+			t.update(now, e, fromTime, func() bool { return e.dropLosses(expired) })
 		}
-		if len(e.losses) == 0 && now.Sub(e.served) > servedFor {
-			t.drop(e)
+		if len(e.losses) == 0 && now.Sub(e.served) > servedTTL {
+			t.remove(e)
 		}
 	}
 }
 
-// Keep returns what is to outlive the loss of all instances: the contents that may be at fault, in quarantine or
-// not. What is held against one that is not yet would be spent on it again.
-func (t *Table) Keep(now time.Time) map[Fingerprint]Evidence {
+// Snapshot returns the evidence to store across the loss of all instances: that on contents that may be at fault,
+// quarantined or not. Without the losses of the latter, each would cost as many targets again.
+func (t *Table) Snapshot(now time.Time) map[Fingerprint]Evidence {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make(map[Fingerprint]Evidence, len(t.accusable))
-	for e := range t.accusable {
-		kept := e.evidence(nil)
+	out := make(map[Fingerprint]Evidence, len(t.candidates))
+	for e := range t.candidates {
+		evidence := e.evidence(nil)
 		if e.settled(now) {
-			kept = e.evidence(t.explained)
-			kept.Upheld = true
+			evidence = e.evidence(t.attributed)
+			evidence.Upheld = true
 		}
-		out[e.content] = kept
+		out[e.content] = evidence
 	}
 	return out
 }
 
-// MayBeAtFault tells whether a content may be at fault for what was lost.
+// MayBeAtFault reports whether a content has enough losses to be at fault.
 func (t *Table) MayBeAtFault(f Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[f]
-	return e != nil && e.accusable()
+	return e != nil && e.isCandidate()
 }
 
-// Counts returns how many contents have each standing but the first.
+// Counts returns the number of contents by standing, without Unsuspected.
 func (t *Table) Counts() map[Standing]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -333,95 +333,96 @@
 	return n
 }
 
-// change changes an entry and all standings that follow from that. Do tells whether it changed anything.
-func (t *Table) change(now time.Time, e *entry, from string, do func() bool) {
-	if !do() {
+// update applies a change to an entry and updates all standings that depend on it. The callback reports
+// whether it changed anything.
+func (t *Table) update(now time.Time, e *entry, from string, apply func() bool) {
+	if !apply() {
 		return
 	}
-	t.unwatch(e)
-	t.watch(e)
+	t.unindex(e)
+	t.index(e)
 	e.changedAt = now
-	_, was := t.accusable[e]
-	if e.accusable() {
-		t.accusable[e] = struct{}{}
+	_, wasCandidate := t.candidates[e]
+	if e.isCandidate() {
+		t.candidates[e] = struct{}{}
 	} else {
-		delete(t.accusable, e)
+		delete(t.candidates, e)
 	}
-	if was || e.accusable() {
-		t.accuse(now, from)
+	if wasCandidate || e.isCandidate() {
+		t.judge(now, from)
 	}
-	if !e.accusable() {
+	if !e.isCandidate() {
 		e.doubted, e.upheld = false, false
-		t.set(now, e, e.proves(t.explained), from)
+		t.setStanding(now, e, e.provenStanding(t.attributed), from)
 	}
 }
 
-// watch lists an entry by the processes of its losses.
-func (t *Table) watch(e *entry) {
+// index adds an entry to the index by the processes of its losses.
+func (t *Table) index(e *entry) {
 	for _, l := range e.losses {
-		at := t.watched[l.Process]
+		at := t.byProcess[l.Process]
 		if at == nil {
 			at = make(map[*entry]struct{})
-			t.watched[l.Process] = at
+			t.byProcess[l.Process] = at
 		}
 		at[e] = struct{}{}
-		e.watched = append(e.watched, l.Process)
+		e.indexedBy = append(e.indexedBy, l.Process)
 	}
 }
 
-// unwatch takes an entry off the processes that it is listed by.
-func (t *Table) unwatch(e *entry) {
-	for _, p := range e.watched {
-		delete(t.watched[p], e)
-		if len(t.watched[p]) == 0 {
-			delete(t.watched, p)
+// unindex removes an entry from the index by process.
+func (t *Table) unindex(e *entry) {
+	for _, p := range e.indexedBy {
+		delete(t.byProcess[p], e)
+		if len(t.byProcess[p]) == 0 {
+			delete(t.byProcess, p)
 		}
 	}
-	e.watched = e.watched[:0]
+	e.indexedBy = e.indexedBy[:0]
 }
 
-// noteLoss notes that a process lost an answer.
-func (t *Table) noteLoss(l Loss) {
-	if known, ok := t.lostAt[l.Process]; (ok || len(t.lostAt) < maxContents) && l.Ended.After(known) {
-		t.lostAt[l.Process] = l.Ended
+// recordProcessLoss records when a process last lost a response.
+func (t *Table) recordProcessLoss(l Loss) {
+	if last, ok := t.lastLoss[l.Process]; (ok || len(t.lastLoss) < maxContents) && l.Ended.After(last) {
+		t.lastLoss[l.Process] = l.Ended
 	}
 }
 
-// entry returns the entry of a content.
+// entry returns the entry of a content, and creates it if needed.
 func (t *Table) entry(now time.Time, f Fingerprint) *entry {
 	if e := t.entries[f]; e != nil {
 		return e
 	}
 	if len(t.entries) >= maxContents {
-		t.makeRoom()
+		t.evict()
 	}
 	e := &entry{content: f, changedAt: now}
 	t.entries[f] = e
 	t.size.Add(1)
-	t.filter[f.head()%filterSlots].Add(1)
+	t.filter[f.shortHash()%filterSlots].Add(1)
 	return e
 }
 
-// makeRoom forgets one content.
-func (t *Table) makeRoom() {
-	var least *entry
+// evict removes one content to make room for another.
+func (t *Table) evict() {
+	var victim *entry
 	n := 0
 	for _, e := range t.entries { // in random order
-		if least == nil || cmp.Or(cmp.Compare(e.standing, least.standing), e.changedAt.Compare(least.changedAt)) < 0 {
-			least = e
+		if victim == nil || cmp.Or(cmp.Compare(e.standing, victim.standing), e.changedAt.Compare(victim.changedAt)) < 0 {
+			victim = e
 		}
 		if n++; n == evictionSample {
 			break
 		}
 	}
-	t.drop(least)
+	t.remove(victim)
 }
 
-// drop forgets a content.
-func (t *Table) drop(e *entry) {
-	t.unwatch(e)
-	delete(t.accusable, e)
+// remove deletes the entry of a content.
+func (t *Table) remove(e *entry) {
+	t.unindex(e)
+	delete(t.candidates, e)
 	delete(t.entries, e.content)
 	t.size.Add(-1)
-	t.filter[e.content.head()%filterSlots].Add(-1)
+	t.filter[e.content.shortHash()%filterSlots].Add(-1)
 }
