--- a/conncheck/doc.go
+++ b/conncheck/doc.go
@@ -1,2 +1,2 @@
-// Package conncheck looks at connections that nobody reads.
+// Package conncheck checks idle connections before they are reused.
 package conncheck
--- a/conncheck/quiet.go
+++ b/conncheck/quiet.go
@@ -5,10 +5,11 @@
 	"syscall"
 )
 
-// Quiet tells whether a connection on which nothing is expected is open and nothing
-// has arrived on it. It does not wait. A byte that has arrived is taken off: it
-// belongs to no request, so the connection must not be used any more.
-func Quiet(c net.Conn) bool {
+// Reusable reports whether an idle connection is open and has no data to read, without
+// blocking. It consumes a byte if one is available: such a byte belongs to no request,
+// so the connection must be closed. A connection that is not a syscall.Conn cannot be
+// checked and is reported as reusable.
+func Reusable(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
@@ -17,12 +18,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	reusable := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, err := syscall.Read(int(fd), b[:])
-		quiet = err == syscall.EAGAIN
+		reusable = err == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && reusable
 }
--- a/conncheck/quiet_test.go
+++ b/conncheck/quiet_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/poll"
 )
 
-func pair(t *testing.T) (near, far net.Conn) {
+func connPair(t *testing.T) (near, far net.Conn) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer ln.Close()
@@ -22,24 +22,24 @@
 	return near, far
 }
 
-func notQuiet(t *testing.T, c net.Conn) {
+func waitNotReusable(t *testing.T, c net.Conn) {
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if Quiet(c) {
-			return poll.Continue("still quiet")
+		if Reusable(c) {
+			return poll.Continue("still reusable")
 		}
 		return poll.Success()
 	}, poll.WithTimeout(5*time.Second), poll.WithDelay(time.Millisecond))
 }
 
-func TestQuiet(t *testing.T) {
-	near, far := pair(t)
-	assert.Assert(t, Quiet(near))
-	assert.Assert(t, Quiet(near))
+func TestReusable(t *testing.T) {
+	near, far := connPair(t)
+	assert.Assert(t, Reusable(near))
+	assert.Assert(t, Reusable(near))
 	_, err := io.WriteString(far, "x")
 	assert.NilError(t, err)
-	notQuiet(t, near)
+	waitNotReusable(t, near)
 
-	near, far = pair(t)
+	near, far = connPair(t)
 	assert.NilError(t, far.Close())
-	notQuiet(t, near)
+	waitNotReusable(t, near)
 }
--- a/eventlog/doc.go
+++ b/eventlog/doc.go
@@ -1,13 +1,12 @@
 // Package eventlog writes one line of key=value pairs for each decision that
-// touches a request or changes what the instance believes.
+// affects a request or changes the state of the instance.
 //
-// Lines go to standard output through a bounded queue: when standard output does
-// not take them, lines are dropped and counted, and no request waits. A rate
-// bounds the volume under load: at most LinesPerSecond with a burst of
-// LinesBurst; what was left out is counted and said in a line of its own. Lines
-// of the process's own life (start, stop, dependencies) are never left out by
-// the rate.
+// Lines go to standard output through a bounded queue. If standard output blocks,
+// lines are dropped and counted, and no request waits. Under load the volume is
+// limited to LinesPerSecond with a burst of LinesBurst; the number of dropped lines
+// is logged. Lifecycle events of the process and its dependencies are exempt from
+// the rate limit.
 //
-// Every line names its event; the events are the constants of this package and
-// docs/OPERATIONS.md explains each.
+// Every line starts with its event, one of the constants of this package.
+// docs/OPERATIONS.md explains each event.
 package eventlog
--- a/eventlog/event.go
+++ b/eventlog/event.go
@@ -2,18 +2,20 @@
 
 import "strconv"
 
-// Event names what a line tells.
+// Event is the name of a log line. The values are stable, since tools match them.
 type Event string
 
-// Events of the process and what it depends on.
+// Events of the process and its dependencies.
 const (
 	Started          Event = "started"
 	Stopping         Event = "stopping"
 	Stopped          Event = "stopped"
 	SettingsReloaded Event = "settings-reloaded"
 	SettingsRefused  Event = "settings-refused"
-	StoreLost        Event = "store-lost"
-	StoreBack        Event = "store-back"
+	// StoreUnreachable and StoreReachable are about this instance's own reads;
+	// StoreUnavailable is about all instances.
+	StoreUnreachable Event = "store-lost"
+	StoreReachable   Event = "store-back"
 	StoreRestored    Event = "store-restored"
 	StoreCallFailed  Event = "store-call-failed"
 	ReaderRole       Event = "reader-role"
@@ -27,60 +29,70 @@
 	ServerError      Event = "server-error"
 )
 
-// Events that change what the instance believes.
+// Events that change the state of the instance.
 const (
 	DocumentApplied Event = "document-applied"
 	DocumentRefused Event = "document-refused"
 	TargetAdded     Event = "target-added"
-	TargetGone      Event = "target-gone"
-	// RateNamed tells that a target names a rate, another one, or none any more; RateRefused that
-	// what it names is none.
-	RateNamed   Event = "rate-named"
-	RateRefused Event = "rate-refused"
-	// TargetLeaving tells that a target says in an answer that it leaves.
+	TargetRemoved   Event = "target-gone"
+	// RateAnnounced is logged when a target sets, changes or withdraws its rate limit,
+	// RateRefused when the rate that it sends is invalid.
+	RateAnnounced Event = "rate-named"
+	RateRefused   Event = "rate-refused"
+	// TargetLeaving is logged when a target announces in a response that it is shutting down.
 	TargetLeaving Event = "target-leaving"
-	// TargetBackoff tells that a target turned a request away, and that the instance backs off from it.
+	// TargetBackoff is logged when the instance backs off from a target that rejected a request.
 	TargetBackoff Event = "target-backoff"
-	// AdviceRefused tells that a field by which targets say something of themselves says nothing.
+	// AdviceRefused is logged when a response field about the target's own state is invalid.
 	AdviceRefused Event = "advice-refused"
-	// TargetHeld tells that a target stays in use though its entry has vanished.
-	TargetHeld Event = "target-held"
-	// StoreAway tells that the store is believed to answer nobody, or no longer.
-	StoreAway Event = "store-away"
-	// StoreOutage tells that the store is known to have answered nobody for a time, or that what
-	// was taken for that was none.
+	// TargetGracePeriod is logged when a target whose entry vanished stays in use for a
+	// grace period.
+	TargetGracePeriod Event = "target-held"
+	// StoreUnavailable is logged when the store appears to become unavailable to all
+	// instances, or available again.
+	StoreUnavailable Event = "store-away"
+	// StoreOutage is logged when a period in which the store answered no instance is
+	// confirmed, or when it turns out not to have been an outage.
 	StoreOutage     Event = "store-outage"
 	EntryRefused    Event = "entry-refused"
 	TargetSuspected Event = "target-suspected"
 	TargetCleared   Event = "target-cleared"
-	PathCut         Event = "path-cut"
-	// ContentJudged tells what may be done with requests of one content.
+	// PathAvoided is logged when the path from this instance to a target fails and is
+	// avoided for a while.
+	PathAvoided Event = "path-cut"
+	// ContentJudged is logged when the handling of requests with some content changes.
 	ContentJudged Event = "content-judged"
-	// ContentTried tells of a request that shows whether its content still crashes a target.
+	// ContentTried is logged for a trial request, which shows whether its content still
+	// crashes a target.
 	ContentTried Event = "content-tried"
-	// ContentKept tells that the store keeps a content in quarantine, or no longer does.
-	ContentKept Event = "content-kept"
-	// RequestAtFault tells that a failure is put down to the request, which fails at each target.
+	// ContentPersisted is logged when quarantined content is added to or removed from the store.
+	ContentPersisted Event = "content-kept"
+	// RequestAtFault is logged when a failure is attributed to the request, which fails at
+	// every target, and not to the target.
 	RequestAtFault Event = "request-at-fault"
-	// InstancesCounted tells by how many the slack of the retry budgets is divided.
-	InstancesCounted Event = "instances-counted"
-	ConnectionsUsed  Event = "connections-used"
+	// InstanceCountChanged is logged when the number of instances that share the slack of
+	// the retry budgets changes.
+	InstanceCountChanged Event = "instances-counted"
+	ConnectionStats      Event = "connections-used"
 )
 
 // Events of requests.
 const (
-	AttemptFailed  Event = "attempt-failed"
-	AttemptOpen    Event = "attempt-open"
-	AttemptAdded   Event = "attempt-added"
-	AttemptRefused Event = "attempt-not-added"
-	RequestRefused Event = "request-refused"
-	RequestFailed  Event = "request-failed"
-	CallerLeft     Event = "caller-left"
-	BudgetLent     Event = "budget-lent"
+	AttemptFailed Event = "attempt-failed"
+	// AttemptOpen is logged for an attempt that is pending when its request times out.
+	AttemptOpen Event = "attempt-open"
+	// AttemptAdded and AttemptNotAdded are logged when a further attempt is granted or denied.
+	AttemptAdded       Event = "attempt-added"
+	AttemptNotAdded    Event = "attempt-not-added"
+	RequestRefused     Event = "request-refused"
+	RequestFailed      Event = "request-failed"
+	CallerDisconnected Event = "caller-left"
+	// BudgetLent is logged when this instance lends part of a retry budget to another one.
+	BudgetLent Event = "budget-lent"
 )
 
-// Share is a probability or a part of a whole, which lines write with three digits.
-type Share float64
+// Fraction is a probability or a proportion, logged with three decimals.
+type Fraction float64
 
 // String implements fmt.Stringer.
-func (s Share) String() string { return strconv.FormatFloat(float64(s), 'f', 3, 64) }
+func (f Fraction) String() string { return strconv.FormatFloat(float64(f), 'f', 3, 64) }
--- a/eventlog/log.go
+++ b/eventlog/log.go
@@ -11,37 +11,37 @@
 	"k8s.io/klog/v2"
 )
 
-// Bounds of the volume.
+// Limits of the log volume.
 const (
-	// LinesPerSecond and LinesBurst bound the lines of requests and beliefs.
-	// At about 250 bytes a line this is 25 KB a second.
+	// LinesPerSecond and LinesBurst limit the lines of all events except unlimitedEvents.
+	// At about 250 bytes per line this is 25 KB/s.
 	LinesPerSecond = 100
 	LinesBurst     = 400
-	// queueLines bounds the lines that wait for standard output.
-	queueLines = 1024
-	// reportEvery is the time between lines that tell how many were dropped.
-	reportEvery = 5 * time.Second
+	// maxQueuedLines limits the lines that wait for standard output.
+	maxQueuedLines = 1024
+	// reportInterval is the interval at which the number of dropped lines is logged.
+	reportInterval = 5 * time.Second
 )
 
-// lifecycle events are written whatever the rate.
-var lifecycle = map[Event]bool{
+// unlimitedEvents are exempt from the rate limit.
+var unlimitedEvents = map[Event]bool{
 	Started: true, Stopping: true, Stopped: true, SettingsReloaded: true, SettingsRefused: true,
-	StoreLost: true, StoreBack: true, StoreAway: true, StoreOutage: true, ReadyChanged: true, LinesDropped: true,
+	StoreUnreachable: true, StoreReachable: true, StoreUnavailable: true, StoreOutage: true, ReadyChanged: true, LinesDropped: true,
 	DocumentApplied: true, DocumentRefused: true,
 }
 
-// limiter is a token bucket.
+// limiter is a token bucket with LinesPerSecond and LinesBurst.
 type limiter struct {
 	mu     sync.Mutex
 	tokens float64
-	at     time.Time
+	last   time.Time
 }
 
 func (l *limiter) allow(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tokens = min(l.tokens+now.Sub(l.at).Seconds()*LinesPerSecond, LinesBurst)
-	l.at = now
+	l.tokens = min(l.tokens+now.Sub(l.last).Seconds()*LinesPerSecond, LinesBurst)
+	l.last = now
 	if l.tokens < 1 {
 		return false
 	}
@@ -50,22 +50,22 @@
 }
 
 var (
-	rate      = limiter{tokens: LinesBurst, at: time.Now()}
-	limited   atomic.Int64 // left out by the rate
-	unwritten atomic.Int64 // left out because the queue was full
+	lineLimiter     = limiter{tokens: LinesBurst, last: time.Now()}
+	droppedByRate   atomic.Int64 // lines dropped by the rate limit
+	droppedByOutput atomic.Int64 // lines dropped because the queue was full or the write failed
 )
 
-// Dropped is how many lines were left out so far.
-func Dropped() int64 { return limited.Load() + unwritten.Load() }
+// Dropped returns the number of lines dropped so far.
+func Dropped() int64 { return droppedByRate.Load() + droppedByOutput.Load() }
 
-// Info writes a line for an event, with pairs of keys and values.
+// Info logs an event with key/value pairs.
 func Info(e Event, keysAndValues ...any) {
 	if allowed(e) {
 		klog.InfoSDepth(1, string(e), keysAndValues...)
 	}
 }
 
-// Error writes a line for an event with the error that caused it.
+// Error logs an event with the error that caused it and key/value pairs.
 func Error(e Event, err error, keysAndValues ...any) {
 	if allowed(e) {
 		klog.ErrorSDepth(1, err, string(e), keysAndValues...)
@@ -73,61 +73,61 @@
 }
 
 func allowed(e Event) bool {
-	if lifecycle[e] || rate.allow(time.Now()) {
+	if unlimitedEvents[e] || lineLimiter.allow(time.Now()) {
 		return true
 	}
-	limited.Add(1)
+	droppedByRate.Add(1)
 	return false
 }
 
-// queue is a writer that never blocks.
+// queue is an io.Writer that drops lines instead of blocking.
 type queue struct {
 	lines chan []byte
-	// waiting counts the lines that were taken in and are not written yet.
-	waiting atomic.Int64
+	// pending is the number of accepted lines that are not written yet.
+	pending atomic.Int64
 }
 
 // Write implements io.Writer.
 func (q *queue) Write(b []byte) (int, error) {
 	line := append([]byte(nil), b...)
-	q.waiting.Add(1)
+	q.pending.Add(1)
 	select {
 	case q.lines <- line:
 	default:
-		q.waiting.Add(-1)
-		unwritten.Add(1)
+		q.pending.Add(-1)
+		droppedByOutput.Add(1)
 	}
 	return len(b), nil
 }
 
-// drain writes the queued lines to w, for ever.
+// drain writes queued lines to w. It never returns.
 func (q *queue) drain(w io.Writer) {
 	for line := range q.lines {
 		if _, err := w.Write(line); err != nil {
-			unwritten.Add(1)
+			droppedByOutput.Add(1)
 		}
-		q.waiting.Add(-1)
+		q.pending.Add(-1)
 	}
 }
 
-// flush waits for at most the given time until all lines are written.
-func (q *queue) flush(most time.Duration) {
-	for end := time.Now().Add(most); q.waiting.Load() > 0 && time.Now().Before(end); {
+// flush waits until all accepted lines are written, for at most timeout.
+func (q *queue) flush(timeout time.Duration) {
+	for end := time.Now().Add(timeout); q.pending.Load() > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// output is the queue that Start set up.
+// output is the queue created by Start, or nil.
 var output atomic.Pointer[queue]
 
-// Flush waits for at most the given time until all lines are written.
-func Flush(most time.Duration) {
+// Flush waits until all accepted lines are written, for at most timeout.
+func Flush(timeout time.Duration) {
 	if q := output.Load(); q != nil {
-		q.flush(most)
+		q.flush(timeout)
 	}
 }
 
-// Start sends all lines to standard output.
+// Start directs all lines to standard output.
 func Start() { start(os.Stdout) }
 
 func start(w io.Writer) {
@@ -137,23 +137,23 @@
 		"logtostderr": "false", "alsologtostderr": "false", "stderrthreshold": "FATAL", "one_output": "true",
 	} {
 		if err := fs.Set(name, value); err != nil {
-			panic(err) // the flags are klog's own
+			panic(err) // unreachable: klog defines these flags
 		}
 	}
-	q := &queue{lines: make(chan []byte, queueLines)}
+	q := &queue{lines: make(chan []byte, maxQueuedLines)}
 	klog.SetOutput(q)
 	go q.drain(w)
 	output.Store(q)
 	go report()
 }
 
-// report says from time to time how many lines were left out.
+// report logs the number of dropped lines every reportInterval if it has grown.
 func report() {
-	var told int64
-	for range time.Tick(reportEvery) {
-		if n := Dropped(); n != told {
-			klog.InfoS(string(LinesDropped), "since_last", n-told, "total", n, "by_rate", limited.Load(), "by_output", unwritten.Load())
-			told = n
+	var reported int64
+	for range time.Tick(reportInterval) {
+		if n := Dropped(); n != reported {
+			klog.InfoS(string(LinesDropped), "since_last", n-reported, "total", n, "by_rate", droppedByRate.Load(), "by_output", droppedByOutput.Load())
+			reported = n
 		}
 	}
 }
--- a/eventlog/log_test.go
+++ b/eventlog/log_test.go
@@ -12,70 +12,70 @@
 	"k8s.io/klog/v2"
 )
 
-// blocked is a standard output that nobody reads.
-type blocked struct{ release chan struct{} }
+// blockedWriter blocks each write until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
-func (b *blocked) Write(p []byte) (int, error) {
+func (b *blockedWriter) Write(p []byte) (int, error) {
 	<-b.release
 	return len(p), nil
 }
 
-type sink struct {
+type syncBuffer struct {
 	mu sync.Mutex
 	b  strings.Builder
 }
 
-func (s *sink) Write(p []byte) (int, error) {
+func (s *syncBuffer) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.b.Write(p)
 }
 
-func (s *sink) String() string {
+func (s *syncBuffer) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.b.String()
 }
 
-func restore() {
+func resetOutput() {
 	klog.SetOutput(os.Stderr)
-	rate = limiter{tokens: LinesBurst, at: time.Now()}
+	lineLimiter = limiter{tokens: LinesBurst, last: time.Now()}
 }
 
-func TestABlockedOutputHoldsNobodyUp(t *testing.T) {
-	defer restore()
-	b := &blocked{make(chan struct{})}
+func TestBlockedOutputDoesNotBlockCallers(t *testing.T) {
+	defer resetOutput()
+	b := &blockedWriter{make(chan struct{})}
 	defer close(b.release)
 	start(b)
 	before := Dropped()
 	begin := time.Now()
-	for range 3 * queueLines {
-		Info(Started) // not limited by the rate
+	for range 3 * maxQueuedLines {
+		Info(Started) // exempt from the rate limit
 	}
 	assert.Assert(t, time.Since(begin) < 2*time.Second)
-	assert.Assert(t, Dropped()-before > queueLines, "what was left out is counted")
+	assert.Assert(t, Dropped()-before > maxQueuedLines, "dropped lines are counted")
 }
 
-func TestTheRateBoundsTheVolume(t *testing.T) {
-	defer restore()
-	s := new(sink)
+func TestRateLimit(t *testing.T) {
+	defer resetOutput()
+	s := new(syncBuffer)
 	start(s)
-	rate = limiter{tokens: LinesBurst, at: time.Now()}
-	before := limited.Load()
+	lineLimiter = limiter{tokens: LinesBurst, last: time.Now()}
+	before := droppedByRate.Load()
 	for range 10 * LinesBurst {
 		Info(AttemptFailed, "request", "x")
 	}
 	Flush(time.Second)
 	lines := strings.Count(s.String(), string(AttemptFailed))
 	assert.Assert(t, lines >= LinesBurst && lines < LinesBurst+LinesPerSecond, lines)
-	assert.Equal(t, limited.Load()-before, int64(10*LinesBurst-lines))
+	assert.Equal(t, droppedByRate.Load()-before, int64(10*LinesBurst-lines))
 }
 
-func TestALineIsKeysAndValues(t *testing.T) {
-	defer restore()
-	s := new(sink)
+func TestLineHasKeysAndValues(t *testing.T) {
+	defer resetOutput()
+	s := new(syncBuffer)
 	start(s)
-	Error(StoreLost, io.ErrUnexpectedEOF, "stream", "targets")
+	Error(StoreUnreachable, io.ErrUnexpectedEOF, "stream", "targets")
 	Flush(time.Second)
 	assert.Assert(t, strings.Contains(s.String(), `"store-lost" err="unexpected EOF" stream="targets"`), s.String())
 }
--- a/exchange/cache.go
+++ b/exchange/cache.go
@@ -14,97 +14,97 @@
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// served counts the exchanges that ended well on the connection.
-	served int
-	// idleSince is when the last exchange ended.
+	// completed counts the exchanges after which the connection stayed reusable.
+	completed int
+	// idleSince is the end of the last exchange.
 	idleSince time.Time
-	// keep is how long the target keeps the connection open while it is idle.
-	keep time.Duration
+	// idleTimeout limits how long the connection may stay idle (see parseIdleTimeout).
+	idleTimeout time.Duration
 }
 
-// Bounds of the cache.
+// Limits of the cache.
 const (
-	// defaultKeep is how long a connection is kept if the target names no time.
-	defaultKeep = 4 * time.Second
-	// keepMargin is left of the time that the target names, for requests on
-	// their way.
-	keepMargin = 700 * time.Millisecond
-	// maxIdle bounds the idle connections to one target.
-	maxIdle = 4
-	// readBuffer is the size of a connection's read buffer in bytes.
-	readBuffer = 4 << 10
+	// defaultIdleTimeout applies if the target sends no Keep-Alive timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// idleTimeoutMargin is subtracted from the target's Keep-Alive timeout to allow
+	// for requests in transit.
+	idleTimeoutMargin = 700 * time.Millisecond
+	// maxIdlePerTarget limits the idle connections to one target.
+	maxIdlePerTarget = 4
+	// readBufferSize is in bytes per connection.
+	readBufferSize = 4 << 10
 )
 
-// probes find connections that went silent while they were idle: nothing else shows
-// it before a request is lost on them.
-var probes = net.KeepAliveConfig{Enable: true, Idle: 1500 * time.Millisecond, Interval: 500 * time.Millisecond, Count: 2}
+// keepAliveConfig enables TCP keep-alive probes, the only way to detect a dead idle
+// connection before a request is lost on it.
+var keepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: 1500 * time.Millisecond, Interval: 500 * time.Millisecond, Count: 2}
 
 // Cache keeps idle connections to targets. It is safe for concurrent use.
 type Cache struct {
 	dialer net.Dialer
 	mu     sync.Mutex
 	idle   map[Target][]*conn
-	// lent is how many connections to a target are in use.
-	lent map[Target]int
-	// opened counts the connections that were opened.
+	// active is the number of connections in use per target.
+	active map[Target]int
 	opened int64
-	uses   Uses
+	stats  Stats
 }
 
-// Uses counts what became of connections to targets since it was last taken.
-type Uses struct {
-	// Reused carried one more request.
+// Stats counts how connections to targets were used since the last TakeStats.
+type Stats struct {
+	// Reused connections carried another request.
 	Reused int
-	// OpenedFirst were opened where there was none, OpenedBusy where all were in use.
+	// OpenedFirst connections were opened while no other to the target was in use,
+	// OpenedBusy while at least one was.
 	OpenedFirst, OpenedBusy int
-	// Aged had rested for as long as the target keeps them, Bounded for longer than
-	// the request allowed, and Broken had been closed by the target or held bytes
-	// that belong to no request.
-	Aged, Bounded, Broken int
-	// Ended were not kept after a request: the target closed them, or the request
-	// failed or was left. Surplus were not kept since there were enough.
-	Ended, Surplus int
+	// Expired connections were idle for the target's idle timeout or belonged to a
+	// target that was removed, IdleTooLong ones exceeded the request's own limit, and
+	// Broken ones were closed by the target or had received unexpected bytes.
+	Expired, IdleTooLong, Broken int
+	// NotReusable connections were closed after a request, because the target closed
+	// them or the request failed or was canceled. Surplus ones were closed because
+	// enough were idle.
+	NotReusable, Surplus int
 }
 
-// TakeUses returns the counts since the last call.
-func (c *Cache) TakeUses() Uses {
+// TakeStats returns the counts since the last call and resets them.
+func (c *Cache) TakeStats() Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	u := c.uses
-	c.uses = Uses{}
-	return u
+	s := c.stats
+	c.stats = Stats{}
+	return s
 }
 
-// count changes the counts.
-func (c *Cache) count(change func(*Uses)) {
+func (c *Cache) updateStats(update func(*Stats)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	change(&c.uses)
+	update(&c.stats)
 }
 
-// lend counts a connection that comes into use, by 1, or goes out of it, by -1.
-func (c *Cache) lend(t Target, n int) {
+// addActive adds n to the number of connections in use.
+func (c *Cache) addActive(t Target, n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lent[t] += n
-	if c.lent[t] == 0 {
-		delete(c.lent, t)
+	c.active[t] += n
+	if c.active[t] == 0 {
+		delete(c.active, t)
 	}
 }
 
-// NewCache returns an empty cache whose connections take at most dialTimeout to
-// open.
+// NewCache returns an empty cache that waits at most dialTimeout for a new
+// connection.
 func NewCache(dialTimeout time.Duration) *Cache {
 	return &Cache{
-		dialer: net.Dialer{Timeout: dialTimeout, KeepAliveConfig: probes},
+		dialer: net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAliveConfig},
 		idle:   make(map[Target][]*conn),
-		lent:   make(map[Target]int),
+		active: make(map[Target]int),
 	}
 }
 
-// Idle tells whether a connection to the target can be used again that was not idle
-// for longer than maxIdle.
-func (c *Cache) Idle(t Target, maxIdle time.Duration) bool {
+// HasIdle reports whether the cache has a connection to the target that has been
+// idle for less than its idle timeout and maxIdle.
+func (c *Cache) HasIdle(t Target, maxIdle time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conns := c.idle[t]
@@ -112,34 +112,34 @@
 		return false
 	}
 	last := conns[len(conns)-1]
-	return time.Since(last.idleSince) < min(last.keep, maxIdle)
+	return time.Since(last.idleSince) < min(last.idleTimeout, maxIdle)
 }
 
-// Opened is how many connections were opened so far.
+// Opened returns the number of connections opened so far.
 func (c *Cache) Opened() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.opened
 }
 
-// take returns an idle connection that has rested for at most most and on which
-// nothing has arrived, or nil.
-func (c *Cache) take(t Target, now time.Time, most time.Duration) *conn {
+// take returns a reusable connection that has been idle for at most maxIdle, or
+// nil. It closes the idle connections that it rejects.
+func (c *Cache) take(t Target, now time.Time, maxIdle time.Duration) *conn {
 	for {
 		cn := c.pop(t)
 		if cn == nil {
 			return nil
 		}
-		rested := now.Sub(cn.idleSince)
+		idleFor := now.Sub(cn.idleSince)
 		switch {
-		case rested >= cn.keep:
-			c.count(func(u *Uses) { u.Aged++ })
-		case rested > most:
-			c.count(func(u *Uses) { u.Bounded++ })
-		case !cn.quiet():
-			c.count(func(u *Uses) { u.Broken++ })
+		case idleFor >= cn.idleTimeout:
+			c.updateStats(func(s *Stats) { s.Expired++ })
+		case idleFor > maxIdle:
+			c.updateStats(func(s *Stats) { s.IdleTooLong++ })
+		case !cn.reusable():
+			c.updateStats(func(s *Stats) { s.Broken++ })
 		default:
-			c.count(func(u *Uses) { u.Reused++ })
+			c.updateStats(func(s *Stats) { s.Reused++ })
 			return cn
 		}
 		_ = cn.Close()
@@ -160,24 +160,23 @@
 	return cn
 }
 
-// put keeps a connection for the next request. The deadline of the last one is taken
-// off: once it had passed, the check before the next use would find the connection
-// broken, and a connection would live for one request's timeout in place of the time
-// that the target keeps it.
+// put stores a connection for reuse and clears the deadline of its last request.
+// With a deadline that has passed, the check before the next use would report the
+// connection as broken long before the target's idle timeout.
 func (c *Cache) put(t Target, cn *conn, now time.Time) {
 	if err := cn.SetDeadline(time.Time{}); err != nil {
-		_ = cn.Close() // it is closed already
+		_ = cn.Close() // already closed
 		return
 	}
 	cn.idleSince = now
-	cn.served++
+	cn.completed++
 	c.mu.Lock()
 	conns := c.idle[t]
-	if len(conns) < maxIdle {
+	if len(conns) < maxIdlePerTarget {
 		c.idle[t] = append(conns, cn)
 		cn = nil
 	} else {
-		c.uses.Surplus++
+		c.stats.Surplus++
 	}
 	c.mu.Unlock()
 	if cn != nil {
@@ -185,8 +184,8 @@
 	}
 }
 
-// Sweep closes the connections that were idle for too long and those of targets
-// that are not in use.
+// Sweep closes the connections that reached their idle timeout and those to targets
+// for which inUse returns false.
 func (c *Cache) Sweep(now time.Time, inUse func(Target) bool) {
 	var closing []*conn
 	c.mu.Lock()
@@ -194,12 +193,12 @@
 		used := inUse(t)
 		kept := conns[:0]
 		for _, cn := range conns {
-			if used && now.Sub(cn.idleSince) < cn.keep {
+			if used && now.Sub(cn.idleSince) < cn.idleTimeout {
 				kept = append(kept, cn)
 				continue
 			}
 			closing = append(closing, cn)
-			c.uses.Aged++
+			c.stats.Expired++
 		}
 		clear(conns[len(kept):])
 		if len(kept) == 0 {
@@ -214,7 +213,6 @@
 	}
 }
 
-// dial opens a connection.
 func (c *Cache) dial(ctx context.Context, t Target) (*conn, error) {
 	nc, err := c.dialer.DialContext(ctx, "tcp4", t.Addr)
 	if err != nil {
@@ -222,16 +220,16 @@
 	}
 	c.mu.Lock()
 	c.opened++
-	if c.lent[t] > 0 {
-		c.uses.OpenedBusy++
+	if c.active[t] > 0 {
+		c.stats.OpenedBusy++
 	} else {
-		c.uses.OpenedFirst++
+		c.stats.OpenedFirst++
 	}
 	c.mu.Unlock()
-	return &conn{Conn: nc, reader: bufio.NewReaderSize(nc, readBuffer), keep: defaultKeep}, nil
+	return &conn{Conn: nc, reader: bufio.NewReaderSize(nc, readBufferSize), idleTimeout: defaultIdleTimeout}, nil
 }
 
-// quiet tells whether the idle connection is open and nothing has arrived on it.
-func (cn *conn) quiet() bool {
-	return cn.reader.Buffered() == 0 && conncheck.Quiet(cn.Conn)
+// reusable reports whether the idle connection is open and has received no data.
+func (cn *conn) reusable() bool {
+	return cn.reader.Buffered() == 0 && conncheck.Reusable(cn.Conn)
 }
--- a/exchange/doc.go
+++ b/exchange/doc.go
@@ -1,12 +1,12 @@
-// Package exchange sends one request to one target over one connection and tells
-// exactly what is known afterwards: the whole answer, that the target did not
-// run the request, that nothing was sent, or that nobody can know.
+// Package exchange sends one request to one target over one connection and
+// reports the outcome: a complete response, a request that the target did not
+// run, a request that was never sent, or an unknown outcome.
 //
-// Nothing is ever sent twice, and a connection goes back to the Cache only if its
-// answer ended exactly where it should. An answer that names another request is
-// passed over: it belongs to an earlier request on the same connection, and the
-// right one may still follow.
+// No request is sent twice. A connection is returned to the Cache only if its
+// response ended exactly at its framing. A response with another request's ID
+// belongs to an earlier request on the same connection; it is skipped, since the
+// expected response may follow.
 //
-// net/http parses and prints the messages; its Transport is not used, since it
-// sends again on its own and does not tell what was sent.
+// net/http parses and serializes the messages. Its Transport is not used because
+// it retries on its own and does not report what was sent.
 package exchange
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -16,114 +16,114 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// Headers names the fields that an exchange reads and writes.
+// Headers holds the names of the header fields that an exchange reads and writes.
 type Headers struct {
-	// RequestID names the request; answers echo it.
+	// RequestID carries the request ID, which responses echo.
 	RequestID string
-	// Deadline carries the time left in milliseconds.
+	// Deadline carries the remaining time in milliseconds.
 	Deadline string
-	// Seal is the target's proof that an answer is its own.
+	// Seal proves that a response was produced by the target itself.
 	Seal string
-	// Target names the target that is meant; another one refuses the request.
+	// Target carries the ID of the intended target; any other target refuses the request.
 	Target string
 	// NotRun is set by a target that did not run the request.
 	NotRun string
-	// Rate is set by a target in need: the requests a second that it takes from all instances.
+	// Rate is set by an overloaded target to the number of requests per second that it
+	// accepts from all instances together.
 	Rate string
-	// Leaving is set to 1 by a target that is about to end.
+	// Leaving is set to 1 by a target that is shutting down.
 	Leaving string
 }
 
-// Target is where a request goes: a process that registered under an ID at an address. A
-// later process under the ID gets none of its connections.
+// Target identifies a process that registered under an ID at an address. Connections
+// are not shared with a later process that registers under the same ID.
 type Target struct {
 	ID   fleet.TargetID
 	Addr string
-	// Born is when the process started, in milliseconds since the Unix epoch; 0 if that
-	// is not known.
+	// Born is the process start in milliseconds since the Unix epoch, or 0 if unknown.
 	Born int64
 }
 
-// Request is what a caller asked.
+// Request is a caller's request.
 type Request struct {
 	ID     string
 	Method string
-	// URI is the path and query as the caller sent them.
+	// URI is the path and query exactly as received.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// HasBody tells an empty body from none.
+	// HasBody distinguishes an empty body from no body.
 	HasBody bool
 }
 
-// Kind tells how an exchange ended.
+// Kind is the outcome of an exchange.
 type Kind uint8
 
 const (
-	// Answered means that the whole answer is there.
+	// Answered means that the complete response was received.
 	Answered Kind = iota + 1
-	// Refused means that the target says that it did not run the request.
+	// Refused means that the target reported that it did not run the request.
 	Refused
-	// Unsent means that no byte of the request left: it was not run.
+	// Unsent means that no byte of the request was sent, so it was not run.
 	Unsent
-	// Broken means that the request may have run and its answer is lost.
+	// Broken means that the request may have run but no valid response was received.
 	Broken
-	// Overdue means that the time ran out before an answer came.
-	Overdue
-	// Abandoned means that the caller left.
-	Abandoned
-	// Withheld means that nothing was sent since the target is to get no request any more.
-	Withheld
+	// TimedOut means that the deadline passed before a complete response was received.
+	TimedOut
+	// Canceled means that the caller disconnected.
+	Canceled
+	// NotAdmitted means that nothing was sent because Client.Admit rejected the target.
+	NotAdmitted
 )
 
 var kindNames = map[Kind]string{
-	Answered: "answered", Refused: "refused", Unsent: "unsent", Broken: "broken", Overdue: "overdue", Abandoned: "abandoned",
-	Withheld: "withheld",
+	Answered: "answered", Refused: "refused", Unsent: "unsent", Broken: "broken", TimedOut: "overdue", Canceled: "abandoned",
+	NotAdmitted: "withheld",
 }
 
-// String names the kind as logs and metrics write it.
+// String returns the name used in logs and metrics.
 func (k Kind) String() string { return kindNames[k] }
 
-// Unrun tells whether the target certainly did not run the request, and never will.
-func (k Kind) Unrun() bool { return k == Refused || !k.MayHaveArrived() }
+// NotRun reports whether the target certainly has not run the request and never will.
+func (k Kind) NotRun() bool { return k == Refused || !k.MayHaveArrived() }
 
-// MayHaveArrived tells whether any part of the request may have reached the target.
-func (k Kind) MayHaveArrived() bool { return k != Unsent && k != Withheld }
+// MayHaveArrived reports whether any part of the request may have reached the target.
+func (k Kind) MayHaveArrived() bool { return k != Unsent && k != NotAdmitted }
 
-// Answer is a target's whole answer.
-type Answer struct {
+// Response is a complete response from a target.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Sealed tells whether the answer carries the target's seal.
+	// Sealed reports whether the response carries the target's seal (Headers.Seal).
 	Sealed bool
 }
 
-// Head is the head of an answer, which is there before its body.
-type Head struct {
+// ResponseHeader is the status and header of a response, available before its body.
+type ResponseHeader struct {
 	Status int
 	Header http.Header
-	// Named tells whether the answer names the request. One without may be a refusal by whoever listens
-	// at the address.
-	Named bool
+	// HasRequestID reports whether the response echoes the request ID. A refusal without
+	// it may come from any server that listens at the address.
+	HasRequestID bool
 }
 
-// Success tells whether the answer is a success that may reach a caller.
-func (a *Answer) Success() bool { return a.Status/100 == 2 && a.Sealed }
+// Success reports whether the response is a success that may be passed to a caller.
+func (r *Response) Success() bool { return r.Status/100 == 2 && r.Sealed }
 
-// Result is what is known after an exchange.
+// Result is the outcome of an exchange.
 type Result struct {
 	Kind Kind
-	// Answer is set for Answered and Refused.
-	Answer *Answer
-	// Err says why, for the other kinds.
+	// Response is set for Answered and Refused.
+	Response *Response
+	// Err is the cause of Unsent, Broken, TimedOut and Canceled.
 	Err error
-	// Reused tells whether the connection had carried requests before, and
+	// Reused reports whether the connection had carried requests before, and
 	// IdleFor how long it was idle.
 	Reused  bool
 	IdleFor time.Duration
-	// Took is the time from the start of the exchange.
+	// Took is the duration of the exchange.
 	Took time.Duration
 }
 
@@ -131,53 +131,55 @@
 type Client struct {
 	Cache   *Cache
 	Headers Headers
-	// MaxAnswer bounds an answer's body in bytes.
-	MaxAnswer int64
-	// OnHead, if set, is called with the head of each answer to the request of the given ID, unless another
-	// target gave it. What it says holds whatever becomes of the body and of the caller.
-	OnHead func(t Target, request string, h Head)
-	// Admit, if set, is asked before the first byte of a request is written whether the target takes requests:
-	// it may have said otherwise since it was chosen.
+	// MaxResponseBytes limits the body of a response.
+	MaxResponseBytes int64
+	// OnResponseHeader, if set, is called with the header of each response to the request
+	// with the given ID, except for refusals by a different target. The header is valid
+	// even if the body fails or the caller disconnects.
+	OnResponseHeader func(t Target, request string, h ResponseHeader)
+	// Admit, if set, is called before the first byte of a request is written. It reports
+	// whether the target still accepts requests, which may have changed since the target
+	// was chosen.
 	Admit func(t Target) bool
 }
 
 var (
-	errForeign  = errors.New("answer of another request")
-	errEncoded  = errors.New("answer with a content encoding")
-	errTooLarge = errors.New("answer too large")
+	errMismatchedID = errors.New("response to another request")
+	errEncoded      = errors.New("response with a content encoding")
+	errTooLarge     = errors.New("response too large")
 )
 
-// Do sends the request, tells the target that its answer is wanted until wanted,
-// and waits until deadline. Cancelling ctx gives up: the connection is closed, so
-// that the target may stop. A connection that was idle for longer than maxIdle is not
-// used: the target may be closing it.
-func (c *Client) Do(ctx context.Context, t Target, r *Request, wanted, deadline time.Time, maxIdle time.Duration) Result {
+// Do sends the request, announces targetDeadline to the target, and waits for the
+// response until deadline. Canceling ctx closes the connection, so that the target
+// can stop processing. Connections idle for longer than maxIdle are not reused because
+// the target may be closing them.
+func (c *Client) Do(ctx context.Context, t Target, r *Request, targetDeadline, deadline time.Time, maxIdle time.Duration) Result {
 	start := time.Now()
-	cn, err := c.connect(ctx, t, deadline, maxIdle)
+	cn, err := c.getConn(ctx, t, deadline, maxIdle)
 	if err != nil {
 		return Result{Kind: Unsent, Err: err, Took: time.Since(start)}
 	}
 	if c.Admit != nil && !c.Admit(t) {
 		_ = cn.Close()
-		return Result{Kind: Withheld, Took: time.Since(start)}
+		return Result{Kind: NotAdmitted, Took: time.Since(start)}
 	}
-	res := Result{Reused: cn.served > 0}
+	res := Result{Reused: cn.completed > 0}
 	if res.Reused {
 		res.IdleFor = start.Sub(cn.idleSince)
 	}
-	c.Cache.lend(t, 1)
+	c.Cache.addActive(t, 1)
 	stop := context.AfterFunc(ctx, func() { _ = cn.Close() })
-	keep := c.converse(cn, t, r, wanted, deadline, &res)
+	keep := c.roundTrip(cn, t, r, targetDeadline, deadline, &res)
 	if !stop() {
 		keep = false
 		if res.Kind == Broken {
-			res.Kind = Abandoned
+			res.Kind = Canceled
 		}
 	}
 	res.Took = time.Since(start)
-	c.Cache.lend(t, -1)
+	c.Cache.addActive(t, -1)
 	if !keep {
-		c.Cache.count(func(u *Uses) { u.Ended++ })
+		c.Cache.updateStats(func(s *Stats) { s.NotReusable++ })
 		_ = cn.Close()
 		return res
 	}
@@ -185,7 +187,7 @@
 	return res
 }
 
-func (c *Client) connect(ctx context.Context, t Target, deadline time.Time, maxIdle time.Duration) (*conn, error) {
+func (c *Client) getConn(ctx context.Context, t Target, deadline time.Time, maxIdle time.Duration) (*conn, error) {
 	if cn := c.Cache.take(t, time.Now(), maxIdle); cn != nil {
 		return cn, nil
 	}
@@ -194,63 +196,63 @@
 	return c.Cache.dial(ctx, t)
 }
 
-// converse writes the request and reads its answer. It tells whether the
-// connection can be used again.
-func (c *Client) converse(cn *conn, t Target, r *Request, wanted, deadline time.Time, res *Result) bool {
+// roundTrip writes the request and reads its response into res. It reports whether
+// the connection can be reused.
+func (c *Client) roundTrip(cn *conn, t Target, r *Request, targetDeadline, deadline time.Time, res *Result) bool {
 	if err := cn.SetDeadline(deadline); err != nil {
 		res.Kind, res.Err = Unsent, err
 		return false
 	}
-	written := cn.send(c.requestHead(t, r, time.Until(wanted)), r.Body)
-	answer, closing, err := c.read(cn, t, r)
+	written := cn.send(c.encodeHeader(t, r, time.Until(targetDeadline)), r.Body)
+	resp, closing, err := c.read(cn, t, r)
 	if err != nil {
-		res.Kind, res.Err = kindOf(err), err
-		if nothingLeft(written) {
+		res.Kind, res.Err = kindOfError(err), err
+		if failedBeforeFirstByte(written) {
 			res.Kind = Unsent
 		}
 		return false
 	}
-	cn.keep = keepTime(answer.Header)
-	res.Answer = answer
+	cn.idleTimeout = parseIdleTimeout(resp.Header)
+	res.Response = resp
 	res.Kind = Answered
-	if answer.Header.Get(c.Headers.NotRun) != "" || answer.Status == http.StatusMisdirectedRequest {
+	if resp.Header.Get(c.Headers.NotRun) != "" || resp.Status == http.StatusMisdirectedRequest {
 		res.Kind = Refused
 	}
 	select {
 	case w := <-written:
 		return w.err == nil && !closing && cn.reader.Buffered() == 0
-	case <-time.After(writeSettle):
-		// The target answered before it had the whole body: whatever came next
-		// on the connection would be taken for the rest of it.
+	case <-time.After(writeDoneTimeout):
+		// The target responded before it received the whole body: it would read
+		// the next request as the rest of that body.
 		return false
 	}
 }
 
-// writeResult is how the writing of a request ended.
+// writeResult is the result of writing a request.
 type writeResult struct {
 	bytes int64
 	err   error
 }
 
-// send writes a request; one with a body is written beside the reading, since a
-// target may answer before it has the whole body.
-func (cn *conn) send(head, body []byte) <-chan writeResult {
+// send writes a request. A request with a body is written concurrently with reading,
+// since a target may respond before it has received the whole body.
+func (cn *conn) send(header, body []byte) <-chan writeResult {
 	written := make(chan writeResult, 1)
 	if len(body) == 0 {
-		n, err := cn.Write(head)
+		n, err := cn.Write(header)
 		written <- writeResult{int64(n), err}
 		return written
 	}
 	go func() {
-		buffers := net.Buffers{head, body}
+		buffers := net.Buffers{header, body}
 		n, err := buffers.WriteTo(cn.Conn)
 		written <- writeResult{n, err}
 	}()
 	return written
 }
 
-// nothingLeft tells whether the writing has failed before its first byte.
-func nothingLeft(written <-chan writeResult) bool {
+// failedBeforeFirstByte reports whether the write has failed without sending a byte.
+func failedBeforeFirstByte(written <-chan writeResult) bool {
 	select {
 	case w := <-written:
 		return w.err != nil && w.bytes == 0
@@ -259,31 +261,31 @@
 	}
 }
 
-// keepTime is how long the target leaves the connection open while it is idle,
-// less a margin.
-func keepTime(h http.Header) time.Duration {
+// parseIdleTimeout returns the timeout of the Keep-Alive field less
+// idleTimeoutMargin, or defaultIdleTimeout if the field has none.
+func parseIdleTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if seconds, err := strconv.Atoi(value); err == nil && seconds > 0 {
-			return time.Duration(seconds)*time.Second - keepMargin
+			return time.Duration(seconds)*time.Second - idleTimeoutMargin
 		}
 	}
-	return defaultKeep
+	return defaultIdleTimeout
 }
 
-func kindOf(err error) Kind {
+func kindOfError(err error) Kind {
 	var ne net.Error
 	if errors.As(err, &ne) && ne.Timeout() {
-		return Overdue
+		return TimedOut
 	}
 	return Broken
 }
 
-// requestHead prints the request's first line and header.
-func (c *Client) requestHead(t Target, r *Request, left time.Duration) []byte {
+// encodeHeader serializes the request line and header.
+func (c *Client) encodeHeader(t Target, r *Request, left time.Duration) []byte {
 	h := r.Header.Clone()
 	h.Set(c.Headers.RequestID, r.ID)
 	h.Set(c.Headers.Deadline, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
@@ -295,79 +297,82 @@
 	var b bytes.Buffer
 	b.Grow(512)
 	b.WriteString(r.Method + " " + r.URI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	_ = h.Write(&b) // a bytes.Buffer takes every write
+	_ = h.Write(&b) // a bytes.Buffer never fails
 	b.WriteString("\r\n")
 	return b.Bytes()
 }
 
-// writeSettle is how long after an answer the end of the request's writing is waited
-// for: the writer may not have been scheduled yet to say that it is done.
-const writeSettle = 10 * time.Millisecond
-
-// maxForeign bounds how many answers of other requests are passed over.
-const maxForeign = 3
-
-// read returns the answer to r, and whether the connection ends with it.
-func (c *Client) read(cn *conn, t Target, r *Request) (*Answer, bool, error) {
-	fresh := cn.served == 0
-	foreign := false
-	for range maxForeign {
-		named, unnamed := false, false
-		answer, closing, err := c.readOne(cn.reader, r.Method, func(h Head) {
+// writeDoneTimeout is how long to wait for the write to finish after the response
+// was received: the writing goroutine may not have been scheduled yet.
+const writeDoneTimeout = 10 * time.Millisecond
+
+// maxResponsesRead limits the responses read for one request, including those to other
+// requests.
+const maxResponsesRead = 3
+
+// read returns the response to r and whether the connection must be closed after it.
+func (c *Client) read(cn *conn, t Target, r *Request) (*Response, bool, error) {
+	fresh := cn.completed == 0
+	mismatched := false
+	for range maxResponsesRead {
+		matched, refused := false, false
+		resp, closing, err := c.readResponse(cn.reader, r.Method, func(h ResponseHeader) {
 			id := h.Header.Get(c.Headers.RequestID)
-			named = id == r.ID
-			unnamed = id == "" && fresh && !foreign && h.Header.Get(c.Headers.NotRun) != ""
-			if named || unnamed {
-				h.Named = named
-				c.handOn(t, r, h)
+			matched = id == r.ID
+			refused = id == "" && fresh && !mismatched && h.Header.Get(c.Headers.NotRun) != ""
+			if matched || refused {
+				h.HasRequestID = matched
+				c.reportHeader(t, r, h)
 			}
 		})
 		switch {
 		case err != nil:
 			return nil, true, err
-		case named:
-			return answer, closing || foreign, verify(answer)
-		case unnamed:
-			return answer, true, nil
+		case matched:
+			return resp, closing || mismatched, checkEncoding(resp)
+		case refused:
+			return resp, true, nil
 		case closing:
-			return nil, true, errors.Wrapf(errForeign, "id %q, status %d", answer.Header.Get(c.Headers.RequestID), answer.Status)
+			return nil, true, errors.Wrapf(errMismatchedID, "id %q, status %d", resp.Header.Get(c.Headers.RequestID), resp.Status)
 		}
-		foreign = true
+		mismatched = true
 	}
-	return nil, true, errForeign
+	return nil, true, errMismatchedID
 }
 
-// handOn passes the head of an answer to OnHead, unless it is another target's.
-func (c *Client) handOn(t Target, r *Request, h Head) {
-	if c.OnHead != nil && h.Status != http.StatusMisdirectedRequest {
-		c.OnHead(t, r.ID, h)
+// reportHeader passes a response header to OnResponseHeader unless the request reached
+// a different target.
+func (c *Client) reportHeader(t Target, r *Request, h ResponseHeader) {
+	if c.OnResponseHeader != nil && h.Status != http.StatusMisdirectedRequest {
+		c.OnResponseHeader(t, r.ID, h)
 	}
 }
 
-func verify(a *Answer) error {
-	if enc := a.Header.Get("Content-Encoding"); enc != "" && !strings.EqualFold(enc, "identity") {
+func checkEncoding(r *Response) error {
+	if enc := r.Header.Get("Content-Encoding"); enc != "" && !strings.EqualFold(enc, "identity") {
 		return errors.Wrap(errEncoded, enc)
 	}
 	return nil
 }
 
-// readOne reads the next whole answer, interim ones left out.
-func (c *Client) readOne(br *bufio.Reader, method string, onHead func(Head)) (*Answer, bool, error) {
-	resp, err := readFinal(br, method)
+// readResponse reads the next complete response, skipping interim ones, and reports
+// whether the connection is closed after it. It calls onHeader before it reads the body.
+func (c *Client) readResponse(br *bufio.Reader, method string, onHeader func(ResponseHeader)) (*Response, bool, error) {
+	resp, err := readFinalHeader(br, method)
 	if err != nil {
 		return nil, true, errors.WithStack(err)
 	}
 	defer resp.Body.Close()
-	onHead(Head{Status: resp.StatusCode, Header: resp.Header})
-	body, err := readBody(resp.Body, c.MaxAnswer, resp.ContentLength)
+	onHeader(ResponseHeader{Status: resp.StatusCode, Header: resp.Header})
+	body, err := readBody(resp.Body, c.MaxResponseBytes, resp.ContentLength)
 	if err != nil {
 		return nil, true, err
 	}
-	a := &Answer{Status: resp.StatusCode, Header: resp.Header, Body: body, Sealed: resp.Header.Get(c.Headers.Seal) != ""}
-	return a, resp.Close, nil
+	r := &Response{Status: resp.StatusCode, Header: resp.Header, Body: body, Sealed: resp.Header.Get(c.Headers.Seal) != ""}
+	return r, resp.Close, nil
 }
 
-func readFinal(br *bufio.Reader, method string) (*http.Response, error) {
+func readFinalHeader(br *bufio.Reader, method string) (*http.Response, error) {
 	req := &http.Request{Method: method}
 	for {
 		resp, err := http.ReadResponse(br, req)
@@ -380,18 +385,18 @@
 	}
 }
 
-func readBody(body io.Reader, most, announced int64) ([]byte, error) {
-	if announced > most {
-		return nil, errors.Wrapf(errTooLarge, "%d bytes", announced)
+func readBody(body io.Reader, maxBytes, contentLength int64) ([]byte, error) {
+	if contentLength > maxBytes {
+		return nil, errors.Wrapf(errTooLarge, "%d bytes", contentLength)
 	}
 	var b bytes.Buffer
-	if announced > 0 {
-		b.Grow(int(announced) + bytes.MinRead)
+	if contentLength > 0 {
+		b.Grow(int(contentLength) + bytes.MinRead)
 	}
-	if _, err := b.ReadFrom(io.LimitReader(body, most+1)); err != nil {
+	if _, err := b.ReadFrom(io.LimitReader(body, maxBytes+1)); err != nil {
 		return nil, errors.WithStack(err)
 	}
-	if int64(b.Len()) > most {
+	if int64(b.Len()) > maxBytes {
 		return nil, errors.WithStack(errTooLarge)
 	}
 	return b.Bytes(), nil
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -15,13 +15,14 @@
 	"gotest.tools/v3/assert"
 )
 
-var names = Headers{RequestID: "X-Id", Deadline: "X-Deadline", Seal: "X-Seal", Target: "X-Target", NotRun: "X-Not-Run"}
+var testHeaders = Headers{RequestID: "X-Id", Deadline: "X-Deadline", Seal: "X-Seal", Target: "X-Target", NotRun: "X-Not-Run"}
 
-// script is what a raw target sends for the n-th request on a connection, %s being
-// the request's ID. A step that ends with reset resets the connection after it.
+// script holds the raw bytes that a target sends for the n-th request on a connection;
+// %s stands for the request ID. After a step that ends with resetMarker, the target
+// resets the connection.
 type script []string
 
-const reset = "\x00reset"
+const resetMarker = "\x00reset"
 
 type rawTarget struct {
 	Target
@@ -56,27 +57,27 @@
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
 		rt.requests.Add(1)
-		out, isReset := strings.CutSuffix(step, reset)
-		_, _ = io.WriteString(c, strings.ReplaceAll(out, "%s", req.Header.Get(names.RequestID)))
+		out, isReset := strings.CutSuffix(step, resetMarker)
+		_, _ = io.WriteString(c, strings.ReplaceAll(out, "%s", req.Header.Get(testHeaders.RequestID)))
 		if isReset {
 			time.Sleep(5 * time.Millisecond)
 			_ = c.(*net.TCPConn).SetLinger(0)
 			return
 		}
 	}
-	_, _ = io.Copy(io.Discard, r) // until the gateway closes it
+	_, _ = io.Copy(io.Discard, r) // until the client closes it
 }
 
 const (
-	sealed = "HTTP/1.1 200 OK\r\nX-Id: %s\r\nX-Seal: s\r\nContent-Length: 4\r\n\r\nbody"
-	other  = "HTTP/1.1 200 OK\r\nX-Id: other\r\nX-Seal: s\r\nContent-Length: 4\r\n\r\nEVIL"
+	sealedResponse = "HTTP/1.1 200 OK\r\nX-Id: %s\r\nX-Seal: s\r\nContent-Length: 4\r\n\r\nbody"
+	otherResponse  = "HTTP/1.1 200 OK\r\nX-Id: other\r\nX-Seal: s\r\nContent-Length: 4\r\n\r\nEVIL"
 )
 
-func client() *Client {
-	return &Client{Cache: NewCache(time.Second), Headers: names, MaxAnswer: 1 << 20}
+func newClient() *Client {
+	return &Client{Cache: NewCache(time.Second), Headers: testHeaders, MaxResponseBytes: 1 << 20}
 }
 
-func request(id string) *Request {
+func newRequest(id string) *Request {
 	return &Request{ID: id, Method: http.MethodPost, URI: "/p?q=%2F", Host: "h.example", Header: http.Header{}, Body: []byte("order"), HasBody: true}
 }
 
@@ -85,49 +86,49 @@
 	return c.Do(context.Background(), t, r, end, end, time.Minute)
 }
 
-func TestWhatIsKnownAfterAnExchange(t *testing.T) {
+func TestResultKinds(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nX-Id: %s\r\nX-Seal: s\r\n"
 	for _, tc := range []struct {
 		name string
 		step string
 		want Kind
-		// reused tells whether the connection may carry the next request.
+		// reused reports whether the connection may carry the next request.
 		reused bool
 	}{
-		{"whole", sealed, Answered, true},
-		{"closing", strings.Replace(sealed, "X-Seal", "Connection: close\r\nX-Seal", 1), Answered, false},
-		{"bytes after the answer", sealed + "more", Answered, false},
-		{"a second answer", sealed + other, Answered, false},
-		{"another request's answer first", other + sealed, Answered, false},
-		{"only another request's answer", other, Overdue, false},
-		{"cut in the head", "HTTP/1.1 200 OK\r\nX-I" + reset, Broken, false},
-		{"cut in the body", head + "Content-Length: 9\r\n\r\nbody" + reset, Broken, false},
-		{"no length, reset", head + "\r\nbody" + reset, Broken, false},
-		{"cut in a chunk", head + "Transfer-Encoding: chunked\r\n\r\n4\r\nbo" + reset, Broken, false},
-		{"no last chunk", head + "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n" + reset, Broken, false},
+		{"complete", sealedResponse, Answered, true},
+		{"closing", strings.Replace(sealedResponse, "X-Seal", "Connection: close\r\nX-Seal", 1), Answered, false},
+		{"bytes after the response", sealedResponse + "more", Answered, false},
+		{"a second response", sealedResponse + otherResponse, Answered, false},
+		{"another request's response first", otherResponse + sealedResponse, Answered, false},
+		{"only another request's response", otherResponse, TimedOut, false},
+		{"truncated in the header", "HTTP/1.1 200 OK\r\nX-I" + resetMarker, Broken, false},
+		{"truncated in the body", head + "Content-Length: 9\r\n\r\nbody" + resetMarker, Broken, false},
+		{"no length, reset", head + "\r\nbody" + resetMarker, Broken, false},
+		{"truncated in a chunk", head + "Transfer-Encoding: chunked\r\n\r\n4\r\nbo" + resetMarker, Broken, false},
+		{"no last chunk", head + "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n" + resetMarker, Broken, false},
 		{"not HTTP", "garbage\r\n\r\n", Broken, false},
-		{"encoded", strings.Replace(sealed, "X-Seal", "Content-Encoding: gzip\r\nX-Seal", 1), Broken, false},
-		{"reset unanswered", reset, Broken, false},
-		{"silent", "", Overdue, false},
-		{"interim answer first", "HTTP/1.1 102 Processing\r\n\r\n" + sealed, Answered, true},
+		{"encoded", strings.Replace(sealedResponse, "X-Seal", "Content-Encoding: gzip\r\nX-Seal", 1), Broken, false},
+		{"reset without a response", resetMarker, Broken, false},
+		{"silent", "", TimedOut, false},
+		{"interim response first", "HTTP/1.1 102 Processing\r\n\r\n" + sealedResponse, Answered, true},
 		{"not run", "HTTP/1.1 503 Full\r\nX-Id: %s\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", Refused, true},
 		{"not run, without an ID", "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", Refused, false},
-		{"not run, another's ID", "HTTP/1.1 503 Full\r\nX-Id: other\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", Overdue, false},
-		{"another target", "HTTP/1.1 421 No\r\nX-Id: %s\r\nContent-Length: 0\r\n\r\n", Refused, true},
-		{"busy, but perhaps run", "HTTP/1.1 503 Busy\r\nX-Id: %s\r\nContent-Length: 0\r\n\r\n", Answered, true},
+		{"not run, another's ID", "HTTP/1.1 503 Full\r\nX-Id: other\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", TimedOut, false},
+		{"a different target", "HTTP/1.1 421 No\r\nX-Id: %s\r\nContent-Length: 0\r\n\r\n", Refused, true},
+		{"busy, may have run", "HTTP/1.1 503 Busy\r\nX-Id: %s\r\nContent-Length: 0\r\n\r\n", Answered, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			rt := newRawTarget(t, script{tc.step, sealed})
-			c := client()
-			res := do(c, rt.Target, request("r1"))
+			rt := newRawTarget(t, script{tc.step, sealedResponse})
+			c := newClient()
+			res := do(c, rt.Target, newRequest("r1"))
 			assert.Equal(t, res.Kind, tc.want, "%v", res.Err)
 			if tc.want == Answered && strings.Contains(tc.step, "body") {
-				assert.Equal(t, string(res.Answer.Body), "body")
+				assert.Equal(t, string(res.Response.Body), "body")
 			}
 			assert.Equal(t, rt.requests.Load(), int32(1), "sent once")
 			time.Sleep(20 * time.Millisecond)
-			do(c, rt.Target, request("r2"))
+			do(c, rt.Target, newRequest("r2"))
 			want := int32(2)
 			if tc.reused {
 				want = 1
@@ -137,28 +138,28 @@
 	}
 }
 
-// A cut at any byte of the answer must never look like a whole one, and the bytes
-// of an extra answer must never reach the next request.
-func TestEveryCutAndEveryExtraLength(t *testing.T) {
-	for n := 1; n < len(sealed); n += 3 {
-		rt := newRawTarget(t, script{sealed[:n] + reset})
-		res := do(client(), rt.Target, request("r1"))
-		assert.Assert(t, res.Kind != Answered, "cut after %d bytes", n)
-		assert.Assert(t, res.Kind != Unsent && res.Kind != Refused, "cut after %d bytes: %v", n, res.Kind)
+// A response truncated at any byte must not be taken for a complete one, and surplus
+// bytes must not be read as the response to the next request.
+func TestTruncatedResponsesAndExtraBytes(t *testing.T) {
+	for n := 1; n < len(sealedResponse); n += 3 {
+		rt := newRawTarget(t, script{sealedResponse[:n] + resetMarker})
+		res := do(newClient(), rt.Target, newRequest("r1"))
+		assert.Assert(t, res.Kind != Answered, "truncated after %d bytes", n)
+		assert.Assert(t, res.Kind != Unsent && res.Kind != Refused, "truncated after %d bytes: %v", n, res.Kind)
 	}
-	for n := 1; n <= len(other); n += 7 {
-		rt := newRawTarget(t, script{sealed + other[:n], sealed})
-		c := client()
+	for n := 1; n <= len(otherResponse); n += 7 {
+		rt := newRawTarget(t, script{sealedResponse + otherResponse[:n], sealedResponse})
+		c := newClient()
 		for i := range 3 {
-			res := do(c, rt.Target, request(fmt.Sprint("r", i)))
+			res := do(c, rt.Target, newRequest(fmt.Sprint("r", i)))
 			if res.Kind == Answered {
-				assert.Equal(t, string(res.Answer.Body), "body", "%d extra bytes", n)
+				assert.Equal(t, string(res.Response.Body), "body", "%d extra bytes", n)
 			}
 		}
 	}
 }
 
-func TestNoLengthEndsWithTheConnection(t *testing.T) {
+func TestBodyWithoutLengthEndsWithConnection(t *testing.T) {
 	rt := newRawTarget(t, nil)
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -174,23 +175,23 @@
 		conn.Close()
 	}()
 	rt.Addr = ln.Addr().String()
-	res := do(client(), rt.Target, request("r1"))
+	res := do(newClient(), rt.Target, newRequest("r1"))
 	assert.Equal(t, res.Kind, Answered, "%v", res.Err)
-	assert.Equal(t, string(res.Answer.Body), "unframed")
+	assert.Equal(t, string(res.Response.Body), "unframed")
 }
 
-func TestNothingListensMeansUnsent(t *testing.T) {
+func TestRefusedConnectionIsUnsent(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	addr := ln.Addr().String()
 	ln.Close()
-	res := do(client(), Target{ID: "t", Addr: addr}, request("r1"))
+	res := do(newClient(), Target{ID: "t", Addr: addr}, newRequest("r1"))
 	assert.Equal(t, res.Kind, Unsent)
 }
 
-// A target that answers before it has the whole body keeps reading: the connection
-// must not carry another request.
-func TestAnEarlyAnswerEndsTheConnection(t *testing.T) {
+// A target that responds before it has received the whole body keeps reading it, so
+// the connection must not carry another request.
+func TestEarlyResponseClosesConnection(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer ln.Close()
@@ -208,95 +209,95 @@
 				if err != nil {
 					return
 				}
-				fmt.Fprintf(conn, "HTTP/1.1 400 No\r\nX-Id: %s\r\nContent-Length: 0\r\n\r\n", req.Header.Get(names.RequestID))
+				fmt.Fprintf(conn, "HTTP/1.1 400 No\r\nX-Id: %s\r\nContent-Length: 0\r\n\r\n", req.Header.Get(testHeaders.RequestID))
 				time.Sleep(300 * time.Millisecond)
 			}()
 		}
 	}()
-	c := client()
-	r := request("r1")
+	c := newClient()
+	r := newRequest("r1")
 	r.Body = make([]byte, 32<<20)
 	res := do(c, Target{ID: "t", Addr: ln.Addr().String()}, r)
 	assert.Equal(t, res.Kind, Answered, "%v", res.Err)
-	do(c, Target{ID: "t", Addr: ln.Addr().String()}, request("r2"))
+	do(c, Target{ID: "t", Addr: ln.Addr().String()}, newRequest("r2"))
 	assert.Equal(t, conns.Load(), int32(2))
 }
 
-func TestGivingUpClosesTheConnection(t *testing.T) {
+func TestCancelClosesConnection(t *testing.T) {
 	rt := newRawTarget(t, script{""})
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(30*time.Millisecond, cancel)
 	end := time.Now().Add(5 * time.Second)
-	res := client().Do(ctx, rt.Target, request("r1"), end, end, time.Minute)
-	assert.Equal(t, res.Kind, Abandoned)
+	res := newClient().Do(ctx, rt.Target, newRequest("r1"), end, end, time.Minute)
+	assert.Equal(t, res.Kind, Canceled)
 	assert.Assert(t, res.Took < time.Second)
 }
 
-func TestTheRequestArrivesAsItWas(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	got := make(chan *http.Request, 1)
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		w.Header().Set(names.RequestID, r.Header.Get(names.RequestID))
+		w.Header().Set(testHeaders.RequestID, r.Header.Get(testHeaders.RequestID))
 		got <- r
 	})}
 	go srv.Serve(ln)
 	defer srv.Close()
-	r := request("r1")
+	r := newRequest("r1")
 	r.Header.Set("X-Other", "kept")
 	end := time.Now().Add(time.Second)
-	res := client().Do(context.Background(), Target{ID: "me", Addr: ln.Addr().String()}, r, end.Add(-500*time.Millisecond), end, time.Minute)
+	res := newClient().Do(context.Background(), Target{ID: "me", Addr: ln.Addr().String()}, r, end.Add(-500*time.Millisecond), end, time.Minute)
 	assert.Equal(t, res.Kind, Answered, "%v", res.Err)
 	in := <-got
 	assert.Equal(t, in.RequestURI, "/p?q=%2F")
 	assert.Equal(t, in.Host, "h.example")
 	assert.Equal(t, in.Header.Get("X-Other"), "kept")
-	assert.Equal(t, in.Header.Get(names.Target), "me")
+	assert.Equal(t, in.Header.Get(testHeaders.Target), "me")
 	assert.Equal(t, in.ContentLength, int64(5))
 	var ms int
-	_, err = fmt.Sscan(in.Header.Get(names.Deadline), &ms)
+	_, err = fmt.Sscan(in.Header.Get(testHeaders.Deadline), &ms)
 	assert.NilError(t, err)
 	assert.Assert(t, ms > 300 && ms <= 500, ms)
 }
 
-func TestSweepClosesWhatIsNotInUse(t *testing.T) {
-	rt := newRawTarget(t, script{sealed, sealed})
-	c := client()
-	do(c, rt.Target, request("r1"))
-	assert.Assert(t, c.Cache.Idle(rt.Target, time.Minute))
+func TestSweepClosesUnusedTargets(t *testing.T) {
+	rt := newRawTarget(t, script{sealedResponse, sealedResponse})
+	c := newClient()
+	do(c, rt.Target, newRequest("r1"))
+	assert.Assert(t, c.Cache.HasIdle(rt.Target, time.Minute))
 	c.Cache.Sweep(time.Now(), func(Target) bool { return false })
-	assert.Assert(t, !c.Cache.Idle(rt.Target, time.Minute))
+	assert.Assert(t, !c.Cache.HasIdle(rt.Target, time.Minute))
 	assert.Equal(t, c.Cache.Opened(), int64(1))
 }
 
-// TestALaterProcessGetsNoConnectionOfTheEarlierOne: a target may start again under its ID,
-// at the same address or at another.
-func TestALaterProcessGetsNoConnectionOfTheEarlierOne(t *testing.T) {
-	rt := newRawTarget(t, script{sealed, sealed})
-	c := client()
+// A target may restart under the same ID and address; connections to the earlier
+// process must not be used for the later one.
+func TestRestartedTargetGetsNoOldConnection(t *testing.T) {
+	rt := newRawTarget(t, script{sealedResponse, sealedResponse})
+	c := newClient()
 	earlier, later := rt.Target, rt.Target
 	earlier.Born, later.Born = 1_800_000_000_000, 1_800_000_007_000
-	do(c, earlier, request("r1"))
-	assert.Assert(t, c.Cache.Idle(earlier, time.Minute))
-	assert.Assert(t, !c.Cache.Idle(later, time.Minute))
-	res := do(c, later, request("r2"))
+	do(c, earlier, newRequest("r1"))
+	assert.Assert(t, c.Cache.HasIdle(earlier, time.Minute))
+	assert.Assert(t, !c.Cache.HasIdle(later, time.Minute))
+	res := do(c, later, newRequest("r2"))
 	assert.Equal(t, res.Kind, Answered)
 	assert.Assert(t, !res.Reused)
 	c.Cache.Sweep(time.Now(), func(t Target) bool { return t == later })
-	assert.Assert(t, !c.Cache.Idle(earlier, time.Minute))
-	assert.Assert(t, c.Cache.Idle(later, time.Minute))
+	assert.Assert(t, !c.Cache.HasIdle(earlier, time.Minute))
+	assert.Assert(t, c.Cache.HasIdle(later, time.Minute))
 }
 
 func BenchmarkExchange(b *testing.B) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(b, err)
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set(names.RequestID, r.Header.Get(names.RequestID))
+		w.Header().Set(testHeaders.RequestID, r.Header.Get(testHeaders.RequestID))
 	})}
 	go srv.Serve(ln)
 	defer srv.Close()
-	c := client()
+	c := newClient()
 	r := &Request{ID: "r", Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -304,69 +305,68 @@
 	}
 }
 
-// TestARestedConnectionOutlivesItsLastDeadline lets a connection rest past the deadline
-// of the request that it carried last.
-func TestARestedConnectionOutlivesItsLastDeadline(t *testing.T) {
-	c, rt := client(), newRawTarget(t, script{sealed, sealed})
+// A connection that is idle past the deadline of its last request must stay reusable.
+func TestIdleConnectionOutlivesRequestDeadline(t *testing.T) {
+	c, rt := newClient(), newRawTarget(t, script{sealedResponse, sealedResponse})
 	const wait = 50 * time.Millisecond
 	end := time.Now().Add(wait)
-	first := c.Do(context.Background(), rt.Target, request("r1"), end, end, time.Minute)
+	first := c.Do(context.Background(), rt.Target, newRequest("r1"), end, end, time.Minute)
 	assert.Equal(t, first.Kind, Answered)
 	time.Sleep(2 * wait)
-	second := do(c, rt.Target, request("r2"))
+	second := do(c, rt.Target, newRequest("r2"))
 	assert.Equal(t, second.Kind, Answered)
 	assert.Assert(t, second.Reused)
 	assert.Equal(t, rt.conns.Load(), int32(1))
 }
 
-// TestHeadsAreHandedOn: what the head of an answer says of its target is known whatever becomes of its body, and only from
-// the target that was meant and of the request that was sent.
-func TestHeadsAreHandedOn(t *testing.T) {
-	const word = "X-Word: 1\r\n"
-	says := func(answer string) string { return strings.Replace(answer, "X-Id", word+"X-Id", 1) }
+// The response header must be reported even if the body fails, and only if it came from
+// the intended target and belongs to the request that was sent.
+func TestOnResponseHeader(t *testing.T) {
+	const extraHeader = "X-Word: 1\r\n"
+	withHeader := func(response string) string { return strings.Replace(response, "X-Id", extraHeader+"X-Id", 1) }
 	for _, tc := range []struct {
 		name string
 		step string
 		want bool
 	}{
-		{"whole", says(sealed), true},
-		{"a failure", says("HTTP/1.1 500 No\r\nX-Id: %s\r\nContent-Length: 0\r\n\r\n"), true},
-		{"a refusal", says("HTTP/1.1 503 Full\r\nX-Id: %s\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), true},
-		{"cut in the body", says("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: 9\r\n\r\nbody") + reset, true},
-		{"a body that does not come", says("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: 9\r\n\r\nbody"), true},
-		{"bytes after the answer", says(sealed) + "more", true},
-		{"another request's answer first", other + says(sealed), true},
-		{"cut in the head", says(sealed)[:40] + reset, false},
-		{"another request's answer", says(other) + sealed, false},
-		{"an extra answer", sealed + says(other), false},
-		{"another target's", says("HTTP/1.1 421 No\r\nX-Id: %s\r\nContent-Length: 0\r\n\r\n"), false},
-		{"without an ID", strings.Replace(says("HTTP/1.1 503 Full\r\nX-Id: %s\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), "X-Id: %s\r\n", "", 1), false},
+		{"complete", withHeader(sealedResponse), true},
+		{"a failure", withHeader("HTTP/1.1 500 No\r\nX-Id: %s\r\nContent-Length: 0\r\n\r\n"), true},
+		{"a refusal", withHeader("HTTP/1.1 503 Full\r\nX-Id: %s\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), true},
+		{"truncated in the body", withHeader("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: 9\r\n\r\nbody") + resetMarker, true},
+		{"a body that never arrives", withHeader("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: 9\r\n\r\nbody"), true},
+		{"bytes after the response", withHeader(sealedResponse) + "more", true},
+		{"another request's response first", otherResponse + withHeader(sealedResponse), true},
+		{"truncated in the header", withHeader(sealedResponse)[:40] + resetMarker, false},
+		{"another request's response", withHeader(otherResponse) + sealedResponse, false},
+		{"an extra response", sealedResponse + withHeader(otherResponse), false},
+		{"a different target", withHeader("HTTP/1.1 421 No\r\nX-Id: %s\r\nContent-Length: 0\r\n\r\n"), false},
+		{"without an ID", strings.Replace(withHeader("HTTP/1.1 503 Full\r\nX-Id: %s\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), "X-Id: %s\r\n", "", 1), false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			rt := newRawTarget(t, script{tc.step})
-			c, said := client(), false
-			c.OnHead = func(target Target, request string, h Head) {
+			c, called := newClient(), false
+			c.OnResponseHeader = func(target Target, request string, h ResponseHeader) {
 				assert.Check(t, target == rt.Target)
 				assert.Check(t, request == "r1")
-				said = said || h.Header.Get("X-Word") != "" && h.Named
+				called = called || h.Header.Get("X-Word") != "" && h.HasRequestID
 			}
-			do(c, rt.Target, request("r1"))
-			assert.Equal(t, said, tc.want, "named")
+			do(c, rt.Target, newRequest("r1"))
+			assert.Equal(t, called, tc.want, "response header reported")
 		})
 	}
 }
 
-// TestAWithheldRequestIsNotSent: a target that takes no requests since it was chosen gets none.
-func TestAWithheldRequestIsNotSent(t *testing.T) {
-	rt := newRawTarget(t, script{sealed, sealed})
-	c := client()
-	takes := true
-	c.Admit = func(Target) bool { return takes }
-	assert.Equal(t, do(c, rt.Target, request("r1")).Kind, Answered)
-	takes = false
-	res := do(c, rt.Target, request("r2"))
-	assert.Equal(t, res.Kind, Withheld)
-	assert.Assert(t, res.Kind.Unrun() && !res.Kind.MayHaveArrived())
+// A target that stops accepting requests after it was chosen must not receive any.
+func TestNotAdmittedRequestIsNotSent(t *testing.T) {
+	rt := newRawTarget(t, script{sealedResponse, sealedResponse})
+	c := newClient()
+	accepts := true
+	c.Admit = func(Target) bool { return accepts }
+	assert.Equal(t, do(c, rt.Target, newRequest("r1")).Kind, Answered)
+	accepts = false
+	res := do(c, rt.Target, newRequest("r2"))
+	assert.Equal(t, res.Kind, NotAdmitted)
+	assert.Assert(t, res.Kind.NotRun() && !res.Kind.MayHaveArrived())
 	assert.Equal(t, rt.requests.Load(), int32(1))
 }
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -98,9 +98,9 @@
 		switch l.Event {
 		case eventlog.AttemptFailed, eventlog.AttemptOpen:
 			failed = l
-		case eventlog.AttemptRefused:
+		case eventlog.AttemptNotAdded:
 			denied = l
-		case eventlog.RequestFailed, eventlog.RequestRefused, eventlog.CallerLeft:
+		case eventlog.RequestFailed, eventlog.RequestRefused, eventlog.CallerDisconnected:
 			final = l
 		}
 	}
@@ -109,7 +109,7 @@
 		return failed, "an attempt failed and a further one served the request"
 	case final == nil:
 		return lines[len(lines)-1], "the request was served"
-	case final.Event == eventlog.CallerLeft:
+	case final.Event == eventlog.CallerDisconnected:
 		return final, "the caller left before the answer"
 	case failed == nil:
 		return final, final.Get("why")
@@ -177,13 +177,13 @@
 // contextKey names what the line changes, empty if that does not matter.
 func contextKey(l *Line, targets map[string]bool) string {
 	switch l.Event {
-	case eventlog.TargetSuspected, eventlog.TargetCleared, eventlog.TargetAdded, eventlog.TargetGone, eventlog.PathCut:
+	case eventlog.TargetSuspected, eventlog.TargetCleared, eventlog.TargetAdded, eventlog.TargetRemoved, eventlog.PathAvoided:
 		if t := l.Get("target"); targets[t] {
 			return "target " + t + string(l.Event)
 		}
 	case eventlog.DocumentApplied:
 		return "document"
-	case eventlog.StoreLost, eventlog.StoreBack, eventlog.Stopping, eventlog.ReadyChanged:
+	case eventlog.StoreUnreachable, eventlog.StoreReachable, eventlog.Stopping, eventlog.ReadyChanged:
 		return string(l.Event)
 	case eventlog.PeerLost:
 		return "peers"
--- a/gateway/advice.go
+++ b/gateway/advice.go
@@ -25,18 +25,18 @@
 )
 
 // handleResponseHeader handles the advice in a response header.
-func (g *Gateway) handleResponseHeader(t exchange.Target, request string, h exchange.Head) {
+func (g *Gateway) handleResponseHeader(t exchange.Target, request string, h exchange.ResponseHeader) {
 	g.handleLeaving(t, request, h)
 	g.handleRetryAfter(t, request, h)
 }
 
 // handleLeaving handles the header by which a target announces that it leaves. A response that does
 // not name the request is ignored, since it may come from another target.
-func (g *Gateway) handleLeaving(t exchange.Target, request string, h exchange.Head) {
+func (g *Gateway) handleLeaving(t exchange.Target, request string, h exchange.ResponseHeader) {
 	name := g.settings.Headers.Leaving
 	fields := h.Header.Values(name)
 	switch {
-	case len(fields) == 0 || !h.Named:
+	case len(fields) == 0 || !h.HasRequestID:
 	case isLeaving(fields):
 		g.markLeaving(registry.Departure{ID: t.ID, Born: t.Born})
 	default:
@@ -45,7 +45,7 @@
 }
 
 // handleRetryAfter starts a backoff if a target rejected the request with a Retry-After.
-func (g *Gateway) handleRetryAfter(t exchange.Target, request string, h exchange.Head) {
+func (g *Gateway) handleRetryAfter(t exchange.Target, request string, h exchange.ResponseHeader) {
 	if h.Status != http.StatusServiceUnavailable && h.Status != http.StatusTooManyRequests {
 		return
 	}
--- a/gateway/advice_test.go
+++ b/gateway/advice_test.go
@@ -42,7 +42,7 @@
 	for i, c := range cases {
 		id := fleet.TargetID(fmt.Sprint("t", i))
 		h := http.Header{headerNames.Leaving: c.fields}
-		g.handleResponseHeader(exchange.Target{ID: id}, "r", exchange.Head{Status: http.StatusOK, Header: h, Named: true})
+		g.handleResponseHeader(exchange.Target{ID: id}, "r", exchange.ResponseHeader{Status: http.StatusOK, Header: h, HasRequestID: true})
 		assert.Equal(t, g.state.Targets().Target(id) == nil, c.want, c.name)
 	}
 }
@@ -137,7 +137,7 @@
 		target := exchangeTarget(g.state.Targets().Target(fleet.TargetID(fmt.Sprint("t", i))))
 		earlier := target
 		earlier.Born--
-		h := exchange.Head{Status: c.status, Header: http.Header{header.RetryAfter: c.fields}}
+		h := exchange.ResponseHeader{Status: c.status, Header: http.Header{header.RetryAfter: c.fields}}
 		g.handleResponseHeader(earlier, "r", h)
 		assert.Assert(t, g.admits(target), c.name)
 		g.handleResponseHeader(target, "r", h)
@@ -196,8 +196,8 @@
 	waitReady(t, g)
 	admin := "http://" + g.settings.ReadyListen
 	first, second := exchangeTarget(g.state.Targets().Target("t0")), exchangeTarget(g.state.Targets().Target("t1"))
-	leaving := exchange.Head{Status: http.StatusOK, Named: true, Header: http.Header{headerNames.Leaving: {"1"}}}
-	turnsAway := exchange.Head{Status: http.StatusServiceUnavailable, Header: http.Header{header.RetryAfter: {"9"}}}
+	leaving := exchange.ResponseHeader{Status: http.StatusOK, HasRequestID: true, Header: http.Header{headerNames.Leaving: {"1"}}}
+	turnsAway := exchange.ResponseHeader{Status: http.StatusServiceUnavailable, Header: http.Header{header.RetryAfter: {"9"}}}
 	g.handleResponseHeader(first, "r", leaving)
 	g.handleResponseHeader(second, "r", turnsAway)
 
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -40,7 +40,7 @@
 // outcome is the combined result of all attempts of a request.
 type outcome struct {
 	kind     outcomeKind
-	response *exchange.Answer
+	response *exchange.Response
 	target   fleet.TargetID
 	attempts int
 	reason   string
@@ -160,7 +160,7 @@
 func (r *attemptGroup) timeOut() outcome {
 	for _, o := range r.pending {
 		eventlog.Info(eventlog.AttemptOpen, "request", r.c.id, "route", r.c.route.Name, "service", r.c.service, "target", o.placed.ID,
-			"addr", o.placed.Addr, "age_ms", time.Since(o.startedAt).Milliseconds(), "fails", eventlog.Share(o.placed.FailProbability), "in_flight", o.placed.InFlight, "slots", o.placed.Slots, "class", r.c.route.Class)
+			"addr", o.placed.Addr, "age_ms", time.Since(o.startedAt).Milliseconds(), "fails", eventlog.Fraction(o.placed.FailProbability), "in_flight", o.placed.InFlight, "slots", o.placed.Slots, "class", r.c.route.Class)
 	}
 	if r.fallback.response != nil {
 		return r.fallback
@@ -191,17 +191,17 @@
 	case exchange.Answered:
 		r.sent++
 		o.kind, o.reason = outcomeUnknown, "the target's answer bears no proof"
-		if forwardable(e.result.Answer) {
-			o.kind, o.response, o.reason = outcomeAnswered, e.result.Answer, ""
+		if forwardable(e.result.Response) {
+			o.kind, o.response, o.reason = outcomeAnswered, e.result.Response, ""
 		}
 	case exchange.Refused:
 		r.refused++
 		o.kind, o.reason = outcomeNotRun, "targets refused it"
 	case exchange.Unsent:
 		o.kind, o.reason = outcomeNotRun, "targets were out of reach"
-	case exchange.Withheld:
+	case exchange.NotAdmitted:
 		o.kind, o.reason = outcomeNotRun, "targets take no more requests"
-	case exchange.Overdue:
+	case exchange.TimedOut:
 		r.sent++
 		o.kind, o.reason = outcomeTimedOut, reasonTimedOut
 	default:
@@ -214,7 +214,7 @@
 // forwardable reports whether a response may be forwarded unchanged. A success must be
 // sealed. A status that implies that the request was not run is not forwarded: a target
 // that proves this yields exchange.Refused instead.
-func forwardable(a *exchange.Answer) bool {
+func forwardable(a *exchange.Response) bool {
 	switch a.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return false
@@ -233,7 +233,7 @@
 
 // retry starts another attempt after a failed one, if that is allowed.
 func (r *attemptGroup) retry(e attemptResult) bool {
-	notRun := e.result.Kind.Unrun()
+	notRun := e.result.Kind.NotRun()
 	reason := ""
 	switch {
 	case r.c.r.Context().Err() != nil:
@@ -259,7 +259,7 @@
 	if reason == "" {
 		reason = "no other target"
 	}
-	eventlog.Info(eventlog.AttemptRefused, "request", r.c.id, "service", r.c.service, "why", reason, "attempts", len(r.tried))
+	eventlog.Info(eventlog.AttemptNotAdded, "request", r.c.id, "service", r.c.service, "why", reason, "attempts", len(r.tried))
 	return false
 }
 
@@ -291,10 +291,10 @@
 	}
 	event := eventlog.AttemptAdded
 	if !ok {
-		event = eventlog.AttemptRefused
+		event = eventlog.AttemptNotAdded
 		r.c.h.Metrics.BudgetRefused.Inc(1)
 	}
-	eventlog.Info(event, "request", r.c.id, "service", r.c.service, "why", reason, "budget_left", eventlog.Share(left), "attempts", len(r.tried))
+	eventlog.Info(event, "request", r.c.id, "service", r.c.service, "why", reason, "budget_left", eventlog.Fraction(left), "attempts", len(r.tried))
 	return ok
 }
 
@@ -342,7 +342,7 @@
 	c := r.c
 	withheld := c.h.Rates.denied(now, targets)
 	for time.Since(now) <= placementTimeout {
-		p, ok := c.h.Knowledge.Place(now, c.service, targets, r.tried, withheld, w, c.h.Client.Cache.Idle)
+		p, ok := c.h.Knowledge.Place(now, c.service, targets, r.tried, withheld, w, c.h.Client.Cache.HasIdle)
 		if !ok {
 			break
 		}
@@ -389,7 +389,7 @@
 	slowTimer := time.AfterFunc(slow, func() { c.observeSlow(p, start) })
 	res := c.h.Client.Do(r.ctx, exchangeTarget(p.Target), c.request, c.targetDeadline, c.deadline, p.MaxIdle)
 	slowTimer.Stop()
-	if res.Kind == exchange.Withheld {
+	if res.Kind == exchange.NotAdmitted {
 		c.h.Knowledge.Withdraw(p)
 	} else {
 		c.h.Knowledge.Done(p)
@@ -400,13 +400,13 @@
 // logFailure logs an attempt that did not yield a response to forward.
 func (r *attemptGroup) logFailure(e attemptResult, o outcome) {
 	status := 0
-	if e.result.Answer != nil {
-		status = e.result.Answer.Status
+	if e.result.Response != nil {
+		status = e.result.Response.Status
 	}
 	pairs := []any{"request", r.c.id, "route", r.c.route.Name, "class", r.c.route.Class, "service", r.c.service,
 		"target", e.placed.ID, "addr", e.placed.Addr, "zone", e.placed.Zone, "kind", e.result.Kind, "status", status, "err", e.result.Err,
 		"took_ms", e.result.Took.Milliseconds(), "reused", e.result.Reused, "idle_ms", e.result.IdleFor.Milliseconds(),
-		"fails", eventlog.Share(e.placed.FailProbability), "cost", eventlog.Share(e.placed.Cost), "in_flight", e.placed.InFlight, "slots", e.placed.Slots, "for_floor", e.placed.ForFloor, "attempt", len(r.tried), "outcome", string(o.kind), "document", r.c.version}
+		"fails", eventlog.Fraction(e.placed.FailProbability), "cost", eventlog.Fraction(e.placed.Cost), "in_flight", e.placed.InFlight, "slots", e.placed.Slots, "for_floor", e.placed.ForFloor, "attempt", len(r.tried), "outcome", string(o.kind), "document", r.c.version}
 	if e.result.Kind == exchange.Broken {
 		pairs = append(pairs, "content", r.c.content.Fingerprint(), "caller", r.c.caller())
 	}
--- a/gateway/attempt_test.go
+++ b/gateway/attempt_test.go
@@ -21,7 +21,7 @@
 		route: &document.Entry{Route: &document.Route{Class: fleet.Confirmation, MaxAttempts: 2}},
 	}
 	for kind, want := range map[exchange.Kind]outcomeKind{
-		exchange.Overdue: outcomeTimedOut, exchange.Broken: outcomeUnknown, exchange.Unsent: outcomeNotRun,
+		exchange.TimedOut: outcomeTimedOut, exchange.Broken: outcomeUnknown, exchange.Unsent: outcomeNotRun,
 	} {
 		r := &attemptGroup{c: c, fallback: outcome{kind: outcomeNotRun}}
 		e := attemptResult{placed: Placement{Target: &registry.Target{}}, result: exchange.Result{Kind: kind}}
--- a/gateway/census.go
+++ b/gateway/census.go
@@ -91,7 +91,7 @@
 	if n == c.lastLogged || now.Sub(c.lastLoggedAt) < countLogInterval {
 		return
 	}
-	eventlog.Info(eventlog.InstancesCounted, "instances", n, "before", c.lastLogged, "heard", len(v.Members), "named", v.PeerCount,
+	eventlog.Info(eventlog.InstanceCountChanged, "instances", n, "before", c.lastLogged, "heard", len(v.Members), "named", v.PeerCount,
 		"zones", len(v.Zones), "met", v.Joined, "told", v.MaxReportedInstances, "age_ms", now.Sub(c.booted).Milliseconds())
 	c.lastLogged, c.lastLoggedAt = n, now
 }
--- a/gateway/contents.go
+++ b/gateway/contents.go
@@ -71,7 +71,7 @@
 	now := time.Now()
 	process := quarantine.Process{Target: e.placed.ID, Born: e.placed.Born}
 	switch {
-	case e.result.Answer != nil:
+	case e.result.Response != nil:
 		c.h.Contents.RecordAnswer(now, process, began)
 		if served(&e.result) {
 			if evidence, changed := c.h.Contents.RecordServed(now, &c.content); changed {
@@ -88,7 +88,7 @@
 // served reports whether the target processed the request. A 5xx response does not count: an
 // unhealthy target also fails requests that it has not begun.
 func served(r *exchange.Result) bool {
-	return r.Kind == exchange.Answered && r.Answer.Sealed && r.Answer.Status < http.StatusInternalServerError
+	return r.Kind == exchange.Answered && r.Response.Sealed && r.Response.Status < http.StatusInternalServerError
 }
 
 // connectionLost reports whether the connection ended during an exchange, as happens when the process
--- a/gateway/evidence.go
+++ b/gateway/evidence.go
@@ -66,7 +66,7 @@
 	k.lastCut.id, k.lastCut.at = id, now
 	t.cutDuration = min(max(2*t.cutDuration, minCutDuration), maxCutDuration)
 	t.cutUntil = now.Add(t.cutDuration)
-	eventlog.Info(eventlog.PathCut, "target", id, "avoid_ms", t.cutDuration.Milliseconds(), "others", others)
+	eventlog.Info(eventlog.PathAvoided, "target", id, "avoid_ms", t.cutDuration.Milliseconds(), "others", others)
 	return others
 }
 
@@ -93,10 +93,10 @@
 	case suspicion.BecameSuspected:
 		r := s.estimator.Rates()
 		eventlog.Info(eventlog.TargetSuspected, "target", e.Target, "service", e.Service, "by", from, "evidence", e.Observation,
-			"age_ms", now.Sub(began).Milliseconds(), "sick_before", eventlog.Share(before), "sick", eventlog.Share(after), "sound_fails", eventlog.Share(r.HealthyFailureRate), "bout_ms", r.UnhealthyPeriod.Milliseconds())
+			"age_ms", now.Sub(began).Milliseconds(), "sick_before", eventlog.Fraction(before), "sick", eventlog.Fraction(after), "sound_fails", eventlog.Fraction(r.HealthyFailureRate), "bout_ms", r.UnhealthyPeriod.Milliseconds())
 	case suspicion.BecameCleared:
 		eventlog.Info(eventlog.TargetCleared, "target", e.Target, "service", e.Service, "by", from, "evidence", e.Observation,
-			"age_ms", now.Sub(began).Milliseconds(), "sick_before", eventlog.Share(before), "sick", eventlog.Share(after))
+			"age_ms", now.Sub(began).Milliseconds(), "sick_before", eventlog.Fraction(before), "sick", eventlog.Fraction(after))
 	}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -85,7 +85,7 @@
 	g.state = statesync.NewState(uint64(g.booted.UnixNano()), g.announceVersions)
 	g.state.SetRemovalBound(s.RemovalTimeout)
 	g.state.OnRestart(func(ids []fleet.TargetID) { g.knowledge.ResetRestarted(time.Now(), ids) })
-	g.client = &exchange.Client{Cache: exchange.NewCache(dialTimeout), Headers: s.Headers, MaxAnswer: maxResponseBytes, OnHead: g.handleResponseHeader, Admit: g.admits}
+	g.client = &exchange.Client{Cache: exchange.NewCache(dialTimeout), Headers: s.Headers, MaxResponseBytes: maxResponseBytes, OnResponseHeader: g.handleResponseHeader, Admit: g.admits}
 	if err := g.listen(); err != nil {
 		return nil, err
 	}
@@ -297,12 +297,12 @@
 
 // logConnectionUses logs how connections to targets were used since the last such line.
 func (g *Gateway) logConnectionUses() {
-	u := g.client.Cache.TakeUses()
-	if u == (exchange.Uses{}) {
+	u := g.client.Cache.TakeStats()
+	if u == (exchange.Stats{}) {
 		return
 	}
-	eventlog.Info(eventlog.ConnectionsUsed, "reused", u.Reused, "opened_first", u.OpenedFirst, "opened_busy", u.OpenedBusy,
-		"aged", u.Aged, "bounded", u.Bounded, "broken", u.Broken, "ended", u.Ended, "surplus", u.Surplus)
+	eventlog.Info(eventlog.ConnectionStats, "reused", u.Reused, "opened_first", u.OpenedFirst, "opened_busy", u.OpenedBusy,
+		"aged", u.Expired, "bounded", u.IdleTooLong, "broken", u.Broken, "ended", u.NotReusable, "surplus", u.Surplus)
 }
 
 func (g *Gateway) tick(now time.Time) {
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -154,7 +154,7 @@
 	}
 	defer c.h.Bodies.Release(int64(len(body)))
 	c.request = &exchange.Request{
-		ID: c.id, Method: c.r.Method, URI: uri, Host: c.r.Host, Header: header.Forwarded(c.r.Header),
+		ID: c.id, Method: c.r.Method, URI: uri, Host: c.r.Host, Header: header.WithoutHopByHop(c.r.Header),
 		Body: body, HasBody: c.r.ContentLength != 0,
 	}
 	c.content = quarantine.Content{Method: c.request.Method, Host: c.request.Host, URI: uri, Body: body}
@@ -237,7 +237,7 @@
 	case errors.Is(err, errBodiesFull):
 		return nil, c.refuse(problem.Overloaded, "too many bodies are held")
 	case errors.Is(err, io.ErrUnexpectedEOF), c.r.Context().Err() != nil:
-		eventlog.Info(eventlog.CallerLeft, "request", c.id, "route", c.route.Name, "during", "body")
+		eventlog.Info(eventlog.CallerDisconnected, "request", c.id, "route", c.route.Name, "during", "body")
 		return nil, c.fail(http.StatusBadRequest, problem.BadRequest, "the body broke off")
 	}
 	return nil, c.fail(http.StatusBadRequest, problem.BadRequest, "the body is malformed")
@@ -246,7 +246,7 @@
 // respond sends the outcome of the attempts to the caller.
 func (c *call) respond(o outcome) int {
 	if c.r.Context().Err() != nil {
-		eventlog.Info(eventlog.CallerLeft, "request", c.id, "route", c.route.Name, "class", c.className(), "service", c.service, "outcome", o.kind,
+		eventlog.Info(eventlog.CallerDisconnected, "request", c.id, "route", c.route.Name, "class", c.className(), "service", c.service, "outcome", o.kind,
 			"after_ms", time.Since(c.start).Milliseconds())
 		return 0
 	}
@@ -269,7 +269,7 @@
 			"by", "target", "target", o.target, "attempts", o.attempts, "document", c.version, "after_ms", time.Since(c.start).Milliseconds())
 	}
 	out := c.w.Header()
-	for name, values := range header.Strip(o.response.Header) {
+	for name, values := range header.StripHopByHop(o.response.Header) {
 		out[name] = values
 	}
 	if _, ok := out["Content-Type"]; !ok {
--- a/gateway/keeper.go
+++ b/gateway/keeper.go
@@ -156,7 +156,7 @@
 			return err
 		}
 		s.stored[f] = recordOf(&e)
-		eventlog.Info(eventlog.ContentKept, "content", f, "kept", true, "settled", e.Upheld, "targets", lossTargets(e), "age_ms", proofAge(now, e).Milliseconds())
+		eventlog.Info(eventlog.ContentPersisted, "content", f, "kept", true, "settled", e.Upheld, "targets", lossTargets(e), "age_ms", proofAge(now, e).Milliseconds())
 	}
 	for f := range s.stored {
 		if s.table.MayBeAtFault(f) {
@@ -166,7 +166,7 @@
 			return err
 		}
 		delete(s.stored, f)
-		eventlog.Info(eventlog.ContentKept, "content", f, "kept", false)
+		eventlog.Info(eventlog.ContentPersisted, "content", f, "kept", false)
 	}
 	return nil
 }
--- a/gateway/learn.go
+++ b/gateway/learn.go
@@ -18,7 +18,7 @@
 	c.h.Metrics.CountAttempt(c.service, e.result.Kind)
 	c.recordContent(e, began)
 	c.recordRate(e, began)
-	if e.result.Reused && e.result.Answer != nil {
+	if e.result.Reused && e.result.Response != nil {
 		c.h.Knowledge.RecordReuse(time.Now(), c.service, e.result.IdleFor)
 	}
 	if executionFailed(&e.result) && c.h.Poison.RecordFailure(time.Now(), &c.content, e.placed.ID) {
@@ -27,7 +27,7 @@
 	}
 	switch res := e.result; res.Kind {
 	case exchange.Answered:
-		if res.Answer.Status == http.StatusGatewayTimeout {
+		if res.Response.Status == http.StatusGatewayTimeout {
 			return // handled like exchange.Overdue below
 		}
 		if executionFailed(&res) {
@@ -35,10 +35,10 @@
 			return
 		}
 		c.h.Poison.RecordSuccess(time.Now(), &c.content, e.placed.ID)
-		c.h.Knowledge.RecordResponseSize(c.service, len(res.Answer.Body))
+		c.h.Knowledge.RecordResponseSize(c.service, len(res.Response.Body))
 		c.observe(e.placed, suspicion.Success, began, res.Took)
 	case exchange.Refused:
-		if res.Answer.Status == http.StatusMisdirectedRequest {
+		if res.Response.Status == http.StatusMisdirectedRequest {
 			c.observe(e.placed, suspicion.WrongTarget, began, 0)
 		}
 	case exchange.Unsent:
@@ -54,7 +54,7 @@
 			return
 		}
 		c.observe(e.placed, o, began, 0)
-	case exchange.Overdue:
+	case exchange.TimedOut:
 		// Slowness was recorded while the attempt was open. The timeout is no further evidence,
 		// since a route's timeout may be shorter than its work.
 	}
@@ -64,8 +64,8 @@
 func executionFailed(r *exchange.Result) bool {
 	switch r.Kind {
 	case exchange.Answered:
-		return r.Answer.Status >= http.StatusInternalServerError || !forwardable(r.Answer)
-	case exchange.Broken, exchange.Overdue:
+		return r.Response.Status >= http.StatusInternalServerError || !forwardable(r.Response)
+	case exchange.Broken, exchange.TimedOut:
 		return true
 	}
 	return false
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -153,7 +153,7 @@
 		}
 		sick := float64(b.Permille) / permille
 		if k.service(b.Service).estimator.Adopt(now, b.Target, sick) && sick >= suspicion.SuspectThreshold {
-			eventlog.Info(eventlog.TargetSuspected, "target", b.Target, "service", b.Service, "by", from, "evidence", "belief", "sick", eventlog.Share(sick))
+			eventlog.Info(eventlog.TargetSuspected, "target", b.Target, "service", b.Service, "by", from, "evidence", "belief", "sick", eventlog.Fraction(sick))
 		}
 	}
 }
--- a/gateway/ratenews.go
+++ b/gateway/ratenews.go
@@ -79,10 +79,10 @@
 // recordRate records the target's rate from an attempt's response. A sealed response without a rate
 // ends the rate.
 func (c *call) recordRate(e attemptResult, began time.Time) {
-	if e.result.Answer == nil || c.h.Rates == nil {
+	if e.result.Response == nil || c.h.Rates == nil {
 		return
 	}
-	rate, named, err := targetrate.Parse(e.result.Answer.Header.Values(c.h.Client.Headers.Rate))
+	rate, named, err := targetrate.Parse(e.result.Response.Header.Values(c.h.Client.Headers.Rate))
 	if err == nil && named && !authenticated(&e.result) {
 		err = errors.WithStack(&targetrate.RefusedError{Cause: targetrate.Unverified})
 	}
@@ -91,14 +91,14 @@
 		c.rejectRate(e, err)
 	case named:
 		c.h.Rates.recordNaming(targetrate.Announcement{Target: e.placed.ID, Rate: rate, At: time.Now()})
-	case e.result.Answer.Sealed && c.h.Rates.table.Rate(e.placed.ID) > 0:
+	case e.result.Response.Sealed && c.h.Rates.table.Rate(e.placed.ID) > 0:
 		c.h.Rates.recordNaming(targetrate.Announcement{Target: e.placed.ID, At: began})
 	}
 }
 
 // authenticated reports whether the response comes from the target itself: it is sealed, or is a
 // refusal to run the request.
-func authenticated(r *exchange.Result) bool { return r.Answer.Sealed || r.Kind == exchange.Refused }
+func authenticated(r *exchange.Result) bool { return r.Response.Sealed || r.Kind == exchange.Refused }
 
 // rejectRate counts and logs a response header that is not a valid rate.
 func (c *call) rejectRate(e attemptResult, err error) {
@@ -111,5 +111,5 @@
 
 // logRateChange logs a change of a target's rate.
 func logRateChange(n targetrate.Announcement, change targetrate.Change, by string, now time.Time) {
-	eventlog.Info(eventlog.RateNamed, "target", n.Target, "change", change, "rate", float64(n.Rate), "by", by, "age_ms", now.Sub(n.At).Milliseconds())
+	eventlog.Info(eventlog.RateAnnounced, "target", n.Target, "change", change, "rate", float64(n.Rate), "by", by, "age_ms", now.Sub(n.At).Milliseconds())
 }
--- a/gateway/rates_test.go
+++ b/gateway/rates_test.go
@@ -379,7 +379,7 @@
 		h.Add("Rate", r)
 	}
 	return attemptResult{placed: Placement{Target: &registry.Target{Entry: registry.Entry{ID: "t-0-0"}}},
-		result: exchange.Result{Kind: kind, Answer: &exchange.Answer{Status: status, Header: h, Sealed: sealed}}}
+		result: exchange.Result{Kind: kind, Response: &exchange.Response{Status: status, Header: h, Sealed: sealed}}}
 }
 
 // TestWhichResponsesSetRates checks that only sealed responses and refusals set a rate, that invalid
--- a/header/doc.go
+++ b/header/doc.go
@@ -1,4 +1,3 @@
-// Package header names the HTTP header fields that instances exchange with
-// callers and targets. docs/TARGETS.md is the same list for whoever writes a
-// target.
+// Package header defines the HTTP header fields that instances exchange with
+// callers and targets. docs/TARGETS.md documents them for target developers.
 package header
--- a/header/forward.go
+++ b/header/forward.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// Forwarded returns a copy of a message's header without the fields that hold
-// for one connection only, those named by Connection included.
-func Forwarded(h http.Header) http.Header {
+// WithoutHopByHop returns a copy of h without the hop-by-hop fields, including those
+// listed in Connection. It never returns nil.
+func WithoutHopByHop(h http.Header) http.Header {
 	out := h.Clone()
 	if out == nil {
 		out = make(http.Header)
 	}
-	return Strip(out)
+	return StripHopByHop(out)
 }
 
-// Strip takes the fields that hold for one connection only off a header, and
-// returns it.
-func Strip(h http.Header) http.Header {
+// StripHopByHop removes the hop-by-hop fields from h, including those listed in
+// Connection, and returns h.
+func StripHopByHop(h http.Header) http.Header {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
 			h.Del(textproto.TrimString(name))
--- a/header/forward_test.go
+++ b/header/forward_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestForwarded keeps what is meant for the other end, and the original.
-func TestForwarded(t *testing.T) {
+// End-to-end fields must be kept, and the original header must not be modified.
+func TestWithoutHopByHop(t *testing.T) {
 	h := http.Header{"Connection": {"close, X-One", "x-two"}, "X-One": {"1"}, "X-Two": {"2"}, "X-Three": {"3"}}
 	for _, name := range hopByHop {
 		assert.Equal(t, name, http.CanonicalHeaderKey(name))
@@ -17,7 +17,7 @@
 		}
 	}
 	fields := len(h)
-	assert.DeepEqual(t, Forwarded(h), http.Header{"X-Three": {"3"}})
+	assert.DeepEqual(t, WithoutHopByHop(h), http.Header{"X-Three": {"3"}})
 	assert.Equal(t, len(h), fields)
-	assert.DeepEqual(t, Forwarded(nil), http.Header{})
+	assert.DeepEqual(t, WithoutHopByHop(nil), http.Header{})
 }
--- a/header/header.go
+++ b/header/header.go
@@ -1,39 +1,39 @@
 package header
 
-// Fields that callers send.
+// Request fields sent by callers.
 const (
-	// IdempotencyKey names a confirmation. A repeat under the same key gets
-	// the first answer (draft-ietf-httpapi-idempotency-key-header).
+	// IdempotencyKey identifies a confirmation. A repeat with the same key gets
+	// the first response (draft-ietf-httpapi-idempotency-key-header).
 	IdempotencyKey = "Idempotency-Key"
-	// OperationTicket names a confirmation by a ticket that the fleet issued.
+	// OperationTicket identifies a confirmation by a ticket that the fleet issued.
 	OperationTicket = "Operation-Ticket"
-	// Prefer with the value "ticket" asks for a ticket.
+	// Prefer with the value "ticket" requests a ticket.
 	Prefer = "Prefer"
 )
 
-// Fields of answers to callers.
+// Response fields sent to callers.
 const (
-	// RequestID names the request in logs and answers. A caller may send it.
+	// RequestID identifies the request in logs and responses. A caller may send it.
 	RequestID = "Request-Id"
 	// OperationOutcome is "completed", "not-run" or "unknown".
 	OperationOutcome = "Operation-Outcome"
-	// RetryAfter is when to come back, in whole seconds.
+	// RetryAfter is the delay before a retry in whole seconds.
 	RetryAfter = "Retry-After"
 )
 
-// Fields that targets receive.
+// Request fields sent to targets.
 const (
-	// ViaInstance and ViaZone name the instance that forwards the request.
+	// ViaInstance and ViaZone are the ID and zone of the instance that forwards the request.
 	ViaInstance = "Via-Instance"
 	ViaZone     = "Via-Zone"
-	// RequestTimeout is the time left for the whole answer, in milliseconds.
+	// RequestTimeout is the time left for the complete response, in milliseconds.
 	RequestTimeout = "Request-Timeout-Ms"
-	// OperationKey names the operation, whether by key or by ticket.
+	// OperationKey identifies the operation, whether the caller sent a key or a ticket.
 	OperationKey = "Operation-Key"
 )
 
-// TargetNotRun is set by a target that did not run the request; its value is
-// one of the NotRun constants.
+// TargetNotRun is set by a target that did not run the request, to one of the NotRun
+// constants.
 const TargetNotRun = "Target-Not-Run"
 
 // Values of TargetNotRun.
@@ -43,7 +43,7 @@
 	NotRunCold     = "cold"
 )
 
-// hopByHop are the fields that hold for one connection only (RFC 9110, 7.6.1).
+// hopByHop lists the fields that apply to a single connection (RFC 9110, 7.6.1).
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
--- a/header/retryafter.go
+++ b/header/retryafter.go
@@ -9,40 +9,41 @@
 	"github.com/pkg/errors"
 )
 
-// longestRetryAfter bounds the text of a field in bytes; a date takes 29.
-const longestRetryAfter = 40
+// maxRetryAfterLen limits a Retry-After value in bytes; a date has 29.
+const maxRetryAfterLen = 40
 
-// ErrRetryAfter is the cause of a Retry-After field that names no time.
-var ErrRetryAfter = errors.New("Retry-After names no time")
+// ErrRetryAfter is returned for an invalid Retry-After field.
+var ErrRetryAfter = errors.New("invalid Retry-After field")
 
-// ParseRetryAfter reads how long a server wants no further request, from seconds with or without a fraction or
-// from a date (RFC 9110, 10.2.3). It returns 0 if there is no field, or if the time is over. The date is compared with
-// the server's own Date where there is one, since clocks differ, and else with the given time of day. The longest
-// time that is returned is most.
-func ParseRetryAfter(h http.Header, timeOfDay time.Time, most time.Duration) (time.Duration, error) {
+// ParseRetryAfter returns the delay that a server requests in Retry-After, at most
+// maxDelay. The field holds seconds, with or without a fraction, or a date (RFC 9110,
+// 10.2.3). A date is relative to the Date field of the same response, since clocks
+// differ, or to now if there is none. The result is 0 if the field is missing or the
+// date has passed. The error wraps ErrRetryAfter.
+func ParseRetryAfter(h http.Header, now time.Time, maxDelay time.Duration) (time.Duration, error) {
 	fields := h.Values(RetryAfter)
 	if len(fields) == 0 {
 		return 0, nil
 	}
 	text := strings.TrimSpace(fields[0])
-	if len(fields) > 1 || text == "" || len(text) > longestRetryAfter {
+	if len(fields) > 1 || text == "" || len(text) > maxRetryAfterLen {
 		return 0, errors.WithStack(ErrRetryAfter)
 	}
 	if at, err := http.ParseTime(text); err == nil {
 		if date, err := http.ParseTime(h.Get("Date")); err == nil {
-			timeOfDay = date
+			now = date
 		}
-		return min(max(at.Sub(timeOfDay), 0), most), nil
+		return min(max(at.Sub(now), 0), maxDelay), nil
 	}
 	if strings.Trim(text, "0123456789.") != "" {
-		return 0, errors.WithStack(ErrRetryAfter) // a sign, an exponent or no number
+		return 0, errors.WithStack(ErrRetryAfter) // sign, exponent or not a number
 	}
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		return 0, errors.WithStack(ErrRetryAfter)
 	}
-	if seconds >= most.Seconds() {
-		return most, nil
+	if seconds >= maxDelay.Seconds() {
+		return maxDelay, nil
 	}
 	return time.Duration(seconds * float64(time.Second)), nil
 }
--- a/losses/request.go
+++ b/losses/request.go
@@ -47,9 +47,9 @@
 		h.failed = l
 	case eventlog.AttemptOpen:
 		h.open = l
-	case eventlog.AttemptRefused:
+	case eventlog.AttemptNotAdded:
 		h.denied = l
-	case eventlog.RequestFailed, eventlog.RequestRefused, eventlog.CallerLeft:
+	case eventlog.RequestFailed, eventlog.RequestRefused, eventlog.CallerDisconnected:
 		h.final = l
 	}
 	if c := l.Get("class"); c != "" {
@@ -73,7 +73,7 @@
 	switch {
 	case final.Event == eventlog.RequestRefused:
 		return outcomeRefused
-	case final.Event == eventlog.CallerLeft:
+	case final.Event == eventlog.CallerDisconnected:
 		return outcomeLeft
 	case final.Get("by") == "target":
 		return outcomeTarget
@@ -83,7 +83,7 @@
 
 func (h *history) cause() string {
 	switch {
-	case h.final.Event == eventlog.CallerLeft:
+	case h.final.Event == eventlog.CallerDisconnected:
 		return "the caller left after " + span(h.final.Get("after_ms"))
 	case h.open != nil:
 		return "out of time: " + waiting(h.open)
--- a/losses/table.go
+++ b/losses/table.go
@@ -45,7 +45,7 @@
 		t.addRequest(l)
 		t.addTarget(l)
 		t.addContent(l)
-		if l.Event == eventlog.ConnectionsUsed {
+		if l.Event == eventlog.ConnectionStats {
 			t.addConnections(l)
 		}
 	}
--- a/pool/conn.go
+++ b/pool/conn.go
@@ -70,4 +70,4 @@
 
 // alive tells whether the peer of an unused connection has neither closed it
 // nor sent anything.
-func (c *conn) alive() bool { return conncheck.Quiet(c.Conn) }
+func (c *conn) alive() bool { return conncheck.Reusable(c.Conn) }
--- a/proxy/confirmation.go
+++ b/proxy/confirmation.go
@@ -48,7 +48,7 @@
 		Method:   x.r.Method,
 		Path:     x.r.URL.Path,
 		Query:    x.r.URL.RawQuery,
-		Header:   header.Forwarded(x.r.Header),
+		Header:   header.WithoutHopByHop(x.r.Header),
 		Body:     body,
 		Window:   x.route.RepeatWindow.D(),
 		Deadline: x.deadline,
--- a/requestid/doc.go
+++ b/requestid/doc.go
@@ -1,3 +1,3 @@
-// Package requestid names requests, so that a caller's answer, the log line
-// and the target's record can be matched.
+// Package requestid validates and generates request IDs, which correlate a
+// response, the log lines and the target's records.
 package requestid
--- a/requestid/requestid.go
+++ b/requestid/requestid.go
@@ -4,11 +4,10 @@
 	"github.com/google/uuid"
 )
 
-// maxLen bounds an id that a caller brings, in bytes.
+// maxLen limits a caller's request ID, in bytes.
 const maxLen = 128
 
-// Accept returns the id that a caller brought if it is fit to be logged, and
-// a new one otherwise.
+// Accept returns the caller's id if it is safe to log, and a new UUID otherwise.
 func Accept(id string) string {
 	if valid(id) {
 		return id
@@ -16,6 +15,8 @@
 	return uuid.NewString()
 }
 
+// valid reports whether id consists of 1 to maxLen printable ASCII characters other
+// than space, quote and backslash.
 func valid(id string) bool {
 	if id == "" || len(id) > maxLen {
 		return false
--- a/statesync/follower.go
+++ b/statesync/follower.go
@@ -558,9 +558,9 @@
 	lost := f.log[Documents] == mesh.LogUnavailable || f.log[Targets] == mesh.LogUnavailable
 	switch {
 	case lost && !f.lost:
-		eventlog.Error(eventlog.StoreLost, err, "stream", s.String())
+		eventlog.Error(eventlog.StoreUnreachable, err, "stream", s.String())
 	case !lost && f.lost:
-		eventlog.Info(eventlog.StoreBack, "stream", s.String())
+		eventlog.Info(eventlog.StoreReachable, "stream", s.String())
 	}
 	f.lost = lost
 }
--- a/statesync/state.go
+++ b/statesync/state.go
@@ -313,7 +313,7 @@
 		s.registry.RecordAnswered(span)
 	}
 	if s.registry.SetUnavailable(status.unavailable) {
-		eventlog.Info(eventlog.StoreAway, "away", status.unavailable, "answered_ms", now.Sub(s.registry.LastAnswered().Until).Milliseconds())
+		eventlog.Info(eventlog.StoreUnavailable, "away", status.unavailable, "answered_ms", now.Sub(s.registry.LastAnswered().Until).Milliseconds())
 	}
 	after := s.registry.LastOutage()
 	if before.From.Equal(after.From) {
@@ -331,7 +331,7 @@
 // vanished.
 func (s *State) logGracePeriods(from string) {
 	for _, h := range s.registry.TakeGracePeriods() {
-		eventlog.Info(eventlog.TargetHeld, "target", h.Target.ID, "service", h.Target.Service, "age_ms", h.Age.Milliseconds(), "hold_ms", h.Remaining.Milliseconds(), "why", h.Reason, "from", from)
+		eventlog.Info(eventlog.TargetGracePeriod, "target", h.Target.ID, "service", h.Target.Service, "age_ms", h.Age.Milliseconds(), "hold_ms", h.Remaining.Milliseconds(), "why", h.Reason, "from", from)
 	}
 }
 
@@ -351,7 +351,7 @@
 	})
 	before.Each(func(t *registry.Target) {
 		if after.Target(t.ID) == nil {
-			eventlog.Info(eventlog.TargetGone, "target", t.ID, "service", t.Service, "epoch", after.Next.Epoch, "offset", after.Next.Offset, "from", from)
+			eventlog.Info(eventlog.TargetRemoved, "target", t.ID, "service", t.Service, "epoch", after.Next.Epoch, "offset", after.Next.Offset, "from", from)
 		}
 	})
 }
--- a/upstream/try.go
+++ b/upstream/try.go
@@ -106,7 +106,7 @@
 		Method:        req.Method,
 		URL:           &u,
 		Host:          target.Addr,
-		Header:        header.Forwarded(req.Header),
+		Header:        header.WithoutHopByHop(req.Header),
 		ContentLength: req.Length,
 		Proto:         "HTTP/1.1",
 		ProtoMajor:    1,
@@ -161,7 +161,7 @@
 	res.Try = classifyAnswer(resp)
 	// A field that names no time asks for none.
 	res.RetryAfter, _ = header.ParseRetryAfter(resp.Header, time.Now(), maxRetryAfter)
-	res.Answer = &Answer{Status: resp.StatusCode, Header: header.Strip(resp.Header), Body: body}
+	res.Answer = &Answer{Status: resp.StatusCode, Header: header.StripHopByHop(resp.Header), Body: body}
 }
 
 // readBody reads an answer's body, or one byte more than the limit.
--- a/wait/doc.go
+++ b/wait/doc.go
@@ -1,2 +1,2 @@
-// Package wait holds the pauses of loops that end with a context.
+// Package wait provides context-aware delays and backoff for loops.
 package wait
--- a/wait/wait_test.go
+++ b/wait/wait_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestForEndsWithTheContext(t *testing.T) {
+func TestForReturnsOnCancel(t *testing.T) {
 	assert.Assert(t, For(t.Context(), time.Millisecond))
 	assert.Assert(t, For(t.Context(), 0))
 	ctx, cancel := context.WithCancel(t.Context())
@@ -17,7 +17,7 @@
 	assert.Assert(t, !For(ctx, time.Hour))
 }
 
-func TestPausesDoubleUpToTheMost(t *testing.T) {
+func TestBackoffDoublesUpToMax(t *testing.T) {
 	b := Backoff{Min: 4 * time.Millisecond, Max: 10 * time.Millisecond}
 	for _, want := range []time.Duration{4, 8, 10, 10} {
 		begin := time.Now()
