--- a/gateway/advice.go
+++ b/gateway/advice.go
@@ -90,7 +90,7 @@
 // applyDeparture applies and announces that a target leaves, or that its departure was lifted. It
 // returns false if nothing changed.
 func (g *Gateway) applyDeparture(d registry.Departure, from string) bool {
-	changes := g.state.Depart([]registry.Departure{d}, from)
+	changes := g.state.RecordDepartures([]registry.Departure{d}, from)
 	if len(changes) == 0 {
 		return false
 	}
@@ -104,7 +104,7 @@
 	if len(p.Departures) == 0 {
 		return
 	}
-	changes := g.state.Depart(p.Departures, p.Addr)
+	changes := g.state.RecordDepartures(p.Departures, p.Addr)
 	if len(changes) > 0 && p.Zone != g.settings.Zone && !p.Relayed {
 		g.node.AnnounceDepartures(changes, false)
 	}
@@ -112,7 +112,7 @@
 
 // fillDepartures adds some of the departures that other instances may not have received to a packet.
 func (g *Gateway) fillDepartures(now time.Time, p *mesh.Packet) {
-	ds := g.state.DeparturesToTell(now)
+	ds := g.state.DeparturesToAnnounce(now)
 	rand.Shuffle(len(ds), func(i, j int) { ds[i], ds[j] = ds[j], ds[i] })
 	p.Departures = ds[:min(len(ds), maxDeparturesPerPacket)]
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	g.follower = statesync.NewFollower(statesync.Options{
-		State: g.state, Store: store, Peers: g.node.View, Self: g.node.Addr(), Zone: s.Zone, Know: g.node.AddPeers, Tell: g.announceVersions,
+		State: g.state, Store: store, Peers: g.node.View, Self: g.node.Addr(), Zone: s.Zone, OnAddresses: g.node.AddPeers, Announce: g.announceVersions,
 	})
 	g.contentSync = &contentSyncer{table: g.contents, store: store, readEpoch: g.readsStore, announce: g.announceStoredContent, booted: g.booted}
 	return g, nil
@@ -153,7 +153,7 @@
 // zone.
 func (g *Gateway) readsStore() (registry.Epoch, bool) {
 	_, position := g.state.Versions()
-	return position.Epoch, g.follower.Log() == mesh.LogAvailable
+	return position.Epoch, g.follower.LogState() == mesh.LogAvailable
 }
 
 // sendUpdate sends an update to the other instances at once.
@@ -180,7 +180,7 @@
 		g.lendBudget(now, p)
 	}
 	if g.state.Behind(now, p.Document, p.Position()) {
-		g.follower.Ahead()
+		g.follower.NotifyAhead()
 	}
 }
 
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -70,7 +70,7 @@
 	gauge("gateway.targets", int64(g.state.Targets().Len()))
 	gauge("gateway.peers", int64(len(g.node.View().Members)))
 	gauge("gateway.store.calls", g.follower.Calls())
-	gauge("gateway.store.state", int64(g.follower.Log()))
+	gauge("gateway.store.state", int64(g.follower.LogState()))
 	gauge("gateway.connections.opened", g.client.Cache.Opened())
 	gauge("gateway.log.dropped", eventlog.Dropped())
 	stats := g.node.Stats()
@@ -82,7 +82,7 @@
 	for _, k := range mesh.Kinds() {
 		m.Registry.Gauge("gateway.mesh.bytes.sent", telemetry.Label{Key: "kind", Value: k.String()}).Update(stats.SentBytes[k])
 	}
-	for cause, n := range g.state.Refused() {
+	for cause, n := range g.state.RefusedRecords() {
 		m.Registry.Gauge("gateway.records.refused", telemetry.Label{Key: "cause", Value: string(cause)}).Update(n)
 	}
 	gauge("gateway.targets.departed", int64(len(g.state.Departures())))
--- a/statesync/departures.go
+++ b/statesync/departures.go
@@ -8,41 +8,43 @@
 	"github.com/clementinereel/clementinereel/registry"
 )
 
-// Depart takes processes of targets out of use that said in answers that they leave, and returns
-// those of which that is news. From names who tells it.
-func (s *State) Depart(ds []registry.Departure, from string) []registry.Departure {
+// RecordDepartures takes target processes out of use that announced in responses that they are
+// leaving, and returns those that were not known. From names the source in the log.
+func (s *State) RecordDepartures(ds []registry.Departure, from string) []registry.Departure {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	news := s.depart(ds, from)
-	if len(news) > 0 {
+	added := s.recordDeparturesLocked(ds, from)
+	if len(added) > 0 {
 		s.publish(from)
 	}
-	return news
+	return added
 }
 
-// depart is the same before the view is published; the lock is held.
-func (s *State) depart(ds []registry.Departure, from string) []registry.Departure {
+// recordDeparturesLocked is RecordDepartures without publishing the view. The caller holds the
+// lock.
+func (s *State) recordDeparturesLocked(ds []registry.Departure, from string) []registry.Departure {
 	now := s.clock()
-	var news []registry.Departure
+	var added []registry.Departure
 	for _, d := range ds {
 		if !s.registry.RecordDeparture(now, d) {
 			continue
 		}
-		news = append(news, d)
+		added = append(added, d)
 		t := s.Targets().Target(d.ID)
 		eventlog.Info(eventlog.TargetLeaving, "target", d.ID, "born", d.Born, "by", from, "age_ms", d.AgeMillis, "lifted", d.Lifted, "in_use", t != nil && t.Born == d.Born)
 	}
-	return news
+	return added
 }
 
-// DeparturesToTell returns the departures that others may not know.
-func (s *State) DeparturesToTell(now time.Time) []registry.Departure {
+// DeparturesToAnnounce returns the departures that peers may not have yet.
+func (s *State) DeparturesToAnnounce(now time.Time) []registry.Departure {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.registry.DeparturesToAnnounce(now)
 }
 
-// Departures returns the processes that said in answers that they leave, as far as that was not lifted.
+// Departures returns the processes that announced in responses that they are leaving, without
+// departures that were lifted.
 func (s *State) Departures() []registry.Departure {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/statesync/doc.go
+++ b/statesync/doc.go
@@ -1,11 +1,10 @@
-// Package statesync keeps an instance's configuration document and registry of
-// targets up to date, from a store that the instance may not reach and from
-// peers that may be ahead.
+// Package statesync keeps an instance's configuration document and target registry
+// up to date, from a platform store that may be unreachable and from peers that may
+// have newer state.
 //
 // A few instances in each zone read the store by long polls; the others learn from
-// heartbeats that a peer is ahead and pull its state. An instance whose readers
-// fall silent, or that knows no peer, reads the store itself. State moves by
-// version and offset and only upwards, whoever tells it, so that it does not
-// matter which source is late, and a fresh process takes the best that any of
-// them has.
+// heartbeats that a peer is ahead and pull its state. An instance reads the store
+// itself if its zone's readers fail or it has no peers. State is ordered by version
+// and offset and only ever moves forward, whatever its source, so delayed updates
+// are harmless and a new process gets the newest state that any source has.
 package statesync
--- a/statesync/exploration_test.go
+++ b/statesync/exploration_test.go
@@ -264,9 +264,9 @@
 // pull lets an instance pull from a peer.
 func (w *world) pull(in, peer *modelInstance, deliver func(func())) {
 	version, position := in.Versions()
-	r := request{document: version, registry: position, all: in.needsPeerState()}
-	whole := peer.whole(r)
-	deliver(func() { in.applyWhole(whole, "peer", r.all) })
+	r := pullRequest{document: version, registry: position, full: in.needsPeerState()}
+	whole := peer.peerSnapshot(r)
+	deliver(func() { in.applyPeerSnapshot(whole, "peer", r.full) })
 }
 
 // check fails if an instance has gone back to an older document or uses a target again that it
--- a/statesync/follower.go
+++ b/statesync/follower.go
@@ -15,60 +15,63 @@
 )
 
 const (
-	// readersPerZone is how many instances of a zone read the store, and
-	// readersAlone how many where there is one zone only. Each call has its price,
-	// but a reader whose path is cut notices only when its read is overdue, and
-	// all instances must learn of a change within 2 s: so more than a few readers
-	// would have to be cut off at once. One that its peers do not hear either
-	// is replaced within about a second.
-	readersPerZone = 2
-	readersAlone   = 4
-	// documentsWait is how long a read of documents waits for a change. It bounds how long a
-	// read may hang on a connection that the store has forgotten.
+	// readersPerZone is the number of instances per zone that read the store, and
+	// singleZoneReaders the number if there is only one zone. Each store call has a cost, so few
+	// instances read. Several are needed because a reader with a broken path notices only when its
+	// read times out, while all instances must have a change within 2 s. A reader that its peers
+	// do not hear from either is replaced within about 1 s.
+	readersPerZone    = 2
+	singleZoneReaders = 4
+	// documentsWait is the long-poll wait of a read of documents. It limits how long a read hangs
+	// on a connection that the store has dropped silently.
 	documentsWait = 4 * time.Second
-	// targetsWait is the same for targets. With lateAnswer it is shorter than any outage in
-	// which entries lapse, two intervals between renewals, so that no read outlasts one unnoticed.
+	// targetsWait is the long-poll wait of a read of targets. With lateResponseThreshold it is
+	// shorter than any outage in which entries expire (two renewal intervals), so that no read
+	// spans such an outage unnoticed.
 	targetsWait = 2 * time.Second
-	// lateAnswer is how much later than its wait was over a read is answered by a store that was
-	// away meanwhile. A slow one takes some hundred milliseconds.
-	lateAnswer = time.Second
-	// probeWait is the same while the store is away, so that its return is
+	// lateResponseThreshold is the delay past its wait from which a read counts as interrupted by
+	// an outage. A slow store adds a few hundred milliseconds.
+	lateResponseThreshold = time.Second
+	// probeWait is the wait of a read while the store is unavailable, short so that its return is
 	// noticed soon.
 	probeWait = 250 * time.Millisecond
-	// firstWait is the same for the first read of an instance that has just become a
-	// reader: until it has an answer to tell of, others take over too.
+	// firstWait is the wait of the first read of a new reader. Other instances take over too until
+	// it has a result to report.
 	firstWait = 50 * time.Millisecond
-	// callSlack is what a call may take beyond its wait. A slow store takes
-	// some hundred milliseconds an answer.
-	callSlack = 1200 * time.Millisecond
-	// settle is the time between two reads when changes come quickly: several
-	// are taken by one call.
-	settle = 400 * time.Millisecond
-	// atOnce is within which time a read is answered whose changes had waited for it.
-	atOnce = 100 * time.Millisecond
-	// overtakenAfter is for how long a read may wait for what others have been told: as long as
-	// a slow store takes to answer them one after the other.
-	overtakenAfter = 250 * time.Millisecond
-	// backOffMin and backOffMax bound the pause after an error, of which half to
-	// the whole is waited; introBackOffMax is the same for the introduction, which
-	// nothing waits for.
-	backOffMin      = 130 * time.Millisecond
-	backOffMax      = 930 * time.Millisecond
-	introBackOffMax = 4 * backOffMax
-	// roleEvery is how often an instance looks whether it is a reader.
-	roleEvery = 200 * time.Millisecond
-	// takeOverStep is for how long an instance leaves it to each of those before it
-	// to read for a zone whose readers get no answers: where the store refuses
-	// these only, one instance more suffices, and each call has its price.
-	takeOverStep = 150 * time.Millisecond
-	// takeOverMost is how many of a zone may read in place of its readers. Where so many
-	// get no answer the store refuses all, and the others would only add calls.
-	takeOverMost = 12
-	// backOffOthers is backOffMax for instances that read in place of others.
-	backOffOthers = 4 * time.Second
+	// callTimeoutMargin is the time that a call may take beyond its wait. A slow store takes a few
+	// hundred milliseconds per response.
+	callTimeoutMargin = 1200 * time.Millisecond
+	// coalesceDelay is the pause after a read that returned changes, so that one call returns
+	// several of them.
+	coalesceDelay = 400 * time.Millisecond
+	// maxImmediateLatency is the response time below which the changes in a response were already
+	// present when the read began.
+	maxImmediateLatency = 100 * time.Millisecond
+	// supersededReadTimeout is how long a read may still wait for changes that a peer already has.
+	// A slow store may take this long to respond to its readers one after the other.
+	supersededReadTimeout = 250 * time.Millisecond
+	// minBackoff and maxBackoff bound the backoff after an error; the actual pause is between half
+	// of it and all of it. maxIntroBackoff replaces maxBackoff for the introduction, which is not
+	// urgent.
+	minBackoff      = 130 * time.Millisecond
+	maxBackoff      = 930 * time.Millisecond
+	maxIntroBackoff = 4 * maxBackoff
+	// roleCheckInterval is how often an instance checks whether it is a reader.
+	roleCheckInterval = 200 * time.Millisecond
+	// takeoverDelayStep is the time that an instance leaves to each one ranked before it to take
+	// over from readers that get no response. If the store rejects only these readers, one more
+	// instance is enough, and each call has a cost.
+	takeoverDelayStep = 150 * time.Millisecond
+	// maxTakeoverReaders is the maximum number of instances of a zone that read in place of its
+	// readers. If that many get no response, the store rejects all instances, and more would only
+	// add calls.
+	maxTakeoverReaders = 12
+	// maxTakeoverBackoff replaces maxBackoff for instances that read in place of the zone's
+	// readers.
+	maxTakeoverBackoff = 4 * time.Second
 )
 
-// Options are what a Follower works with.
+// Options configures a Follower.
 type Options struct {
 	State *State
 	Store Store
@@ -76,150 +79,155 @@
 	Peers func() mesh.View
 	Self  string
 	Zone  fleet.Zone
-	// Know is called with addresses of instances that the store named.
-	Know func([]string)
-	// Tell is called when the store's answers begin or end; it makes the others hear
-	// of it at once. It may be nil.
-	Tell func()
+	// OnAddresses is called with instance addresses read from the store.
+	OnAddresses func([]string)
+	// Announce is called when the store becomes available or unavailable to this instance; it
+	// reports that to the peers at once. It may be nil.
+	Announce func()
 }
 
 // Follower keeps a State up to date.
 type Follower struct {
-	o       Options
-	puller  *puller
-	started time.Time
-	ahead   chan struct{}
-
-	mu    sync.Mutex
-	log   [streams]mesh.LogState
-	read  [streams]bool
-	lost  bool
-	role  bool
-	calls int64
-	// restedFrom is since when a stream was not read, before its latest read. What changed before
-	// that would have been in the answer before. After an error it is when the next read
-	// begins: nobody knows what the store did meanwhile. Each is its stream's own.
-	restedFrom [streams]time.Time
-	// hanging ends the reads that wait for changes.
-	hanging [streams]hangingRead
-	// moved tells that the store was restored, to whoever has to announce the instance again.
-	moved chan struct{}
-	// answering is since when all reads of targets were answered in time; zero if the last was
-	// not.
-	answering time.Time
-	// unserved is since when no other instance of the zone reads with success.
-	unserved time.Time
-}
-
-// NewFollower returns a follower that does nothing yet.
+	opts      Options
+	puller    *puller
+	started   time.Time
+	peerAhead chan struct{}
+
+	mu           sync.Mutex
+	logStates    [streamCount]mesh.LogState
+	snapshotDone [streamCount]bool
+	storeLost    bool
+	isReader     bool
+	calls        int64
+	// idleSince is, per stream, the time since which no read was in progress before the latest
+	// one: a change made before it would have been in the preceding response. After an error it is
+	// the start of the next read, since the state of the store during the error is unknown. Each
+	// element is used only by the goroutine of its stream.
+	idleSince [streamCount]time.Time
+	// pendingReads holds the read of each stream that waits for changes.
+	pendingReads [streamCount]pendingRead
+	// restoreNotify is signaled when the store was restored, so that the instance announces itself
+	// again.
+	restoreNotify chan struct{}
+	// answeredSince is the time since which all reads of targets were answered in time; zero if
+	// the last one was not.
+	answeredSince time.Time
+	// unservedSince is the time since which no other instance of the zone reads the store
+	// successfully.
+	unservedSince time.Time
+}
+
+// NewFollower returns a follower that is started with Run.
 func NewFollower(o Options) *Follower {
-	f := &Follower{o: o, puller: newPuller(), ahead: make(chan struct{}, 1), moved: make(chan struct{}, 1), started: time.Now()}
+	f := &Follower{opts: o, puller: newPuller(), peerAhead: make(chan struct{}, 1), restoreNotify: make(chan struct{}, 1), started: time.Now()}
 	if o.State != nil {
-		o.State.OnRestore(f.restored)
+		o.State.OnRestore(f.handleRestore)
 	}
 	return f
 }
 
-// errEarlierEpoch is an answer of the store from before it was restored: one that was long on its
-// way, or that of a part that does not know yet.
-var errEarlierEpoch = errors.New("an answer of an earlier epoch of the store")
+// errStaleEpoch reports a response from before the store was restored: it was delayed, or came
+// from a node of the store that has not seen the restore yet.
+var errStaleEpoch = errors.New("store response belongs to an earlier epoch")
 
-// errRestored ends a read that waits for changes of an epoch that is over.
+// errRestored cancels a read that waits for changes of an epoch that has ended.
 var errRestored = errors.New("the store was restored from an older copy")
 
-// restored ends what belongs to an earlier epoch of the store: a read on a connection that the
-// store has forgotten would hang for seconds.
-func (f *Follower) restored() {
+// handleRestore cancels the pending reads of the earlier epoch, which could hang for seconds on
+// connections that the store has dropped silently, and signals restoreNotify.
+func (f *Follower) handleRestore() {
 	f.mu.Lock()
-	hanging := f.hanging
+	pending := f.pendingReads
 	f.mu.Unlock()
-	for _, r := range hanging {
-		if r.end != nil {
-			r.end(errRestored)
+	for _, r := range pending {
+		if r.cancel != nil {
+			r.cancel(errRestored)
 		}
 	}
 	select {
-	case f.moved <- struct{}{}:
+	case f.restoreNotify <- struct{}{}:
 	default:
 	}
 }
 
-// hangingRead is a read that waits for changes.
-type hangingRead struct {
-	end context.CancelCauseFunc // nil if there is none
-	// number tells one read from the next.
-	number int64
-	from   registry.Position
+// pendingRead is a read that waits for changes.
+type pendingRead struct {
+	cancel context.CancelCauseFunc // nil if no read is pending
+	// id distinguishes successive reads.
+	id   int64
+	from registry.Position
 }
 
-// errOvertaken ends a read that waits for changes which others were told of.
-var errOvertaken = errors.New("others were told of changes that this read waits for")
+// errSuperseded cancels a read that waits for changes which a peer already has.
+var errSuperseded = errors.New("peers already have changes that this read waits for")
 
-// overtaken ends the reads that still wait, a moment from now, for what a peer has told meanwhile: the
-// store has forgotten their connections.
-func (f *Follower) overtaken() {
+// cancelSupersededReads cancels, after supersededReadTimeout, reads that still wait for changes
+// already received from a peer: the store has dropped their connections.
+func (f *Follower) cancelSupersededReads() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for s, r := range f.hanging {
-		if r.end == nil || !f.o.State.next(Stream(s)).After(r.from) {
+	for s, r := range f.pendingReads {
+		if r.cancel == nil || !f.opts.State.next(Stream(s)).After(r.from) {
 			continue
 		}
-		time.AfterFunc(overtakenAfter, func() {
-			if f.waits(Stream(s), r.number) {
-				eventlog.Error(eventlog.StoreCallFailed, errOvertaken, "call", "read", "stream", Stream(s).String(), "offset", r.from.Offset)
-				r.end(errOvertaken)
+		time.AfterFunc(supersededReadTimeout, func() {
+			if f.isPending(Stream(s), r.id) {
+				eventlog.Error(eventlog.StoreCallFailed, errSuperseded, "call", "read", "stream", Stream(s).String(), "offset", r.from.Offset)
+				r.cancel(errSuperseded)
 			}
 		})
 	}
 }
 
-// waits tells whether a read of a stream is still the one of the given number.
-func (f *Follower) waits(s Stream, number int64) bool {
+// isPending reports whether the stream's pending read is the one with the given id.
+func (f *Follower) isPending(s Stream, id int64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.hanging[s].end != nil && f.hanging[s].number == number
+	return f.pendingReads[s].cancel != nil && f.pendingReads[s].id == id
 }
 
-// Run follows store and peers until ctx ends.
+// Run follows the store and the peers until ctx is done.
 func (f *Follower) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	for s := range streams {
-		wg.Go(func() { f.follow(ctx, s) })
+	for s := range streamCount {
+		wg.Go(func() { f.followStream(ctx, s) })
 	}
 	wg.Go(func() { f.introduce(ctx) })
-	wg.Go(func() { f.pull(ctx) })
+	wg.Go(func() { f.pullLoop(ctx) })
 	wg.Wait()
 }
 
-// Log tells what this instance knows of the store's log.
-func (f *Follower) Log() mesh.LogState {
+// LogState returns the availability of the store's log as seen by this instance; it is unread if
+// the instance is not a reader or has not read both streams yet.
+func (f *Follower) LogState() mesh.LogState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.role {
+	if !f.isReader {
 		return mesh.LogUnread
 	}
-	if f.log[Documents] == mesh.LogUnread || f.log[Targets] == mesh.LogUnread {
+	if f.logStates[Documents] == mesh.LogUnread || f.logStates[Targets] == mesh.LogUnread {
 		return mesh.LogUnread
 	}
-	return max(f.log[Documents], f.log[Targets])
+	return max(f.logStates[Documents], f.logStates[Targets])
 }
 
-// Fill puts into a packet what the instance tells of its state and of the store.
+// Fill sets the fields of a packet that describe the instance's state and the store.
 func (f *Follower) Fill(p *mesh.Packet) {
-	version, position := f.o.State.Versions()
+	version, position := f.opts.State.Versions()
 	p.Document, p.Registry, p.Epoch = version, position.Offset, position.Epoch
-	p.Log = f.Log()
-	p.LogAvailability = mesh.NewAgeSpan(time.Now(), f.o.State.lastAnswered())
+	p.Log = f.LogState()
+	p.LogAvailability = mesh.NewAgeSpan(time.Now(), f.opts.State.lastAnswered())
 }
 
-// Tick ends what is over by time, after what is known of the other instances.
+// Tick passes the store's availability to the state, as seen by all instances, and applies what
+// expires by time.
 func (f *Follower) Tick(now time.Time, v mesh.View) {
-	f.o.State.tick(now, storeStatus{unavailable: f.away(v), answeredSpans: answeredOthers(v)})
+	f.opts.State.tick(now, storeStatus{unavailable: f.storeUnavailable(v), answeredSpans: peerAnsweredSpans(v)})
 }
 
-// answeredOthers are the times in which other instances had answers of the store's log, by what
-// they tell. Those of the version before tell only that they have some now.
-func answeredOthers(v mesh.View) []registry.Span {
+// peerAnsweredSpans returns the time spans in which the store's log answered other instances, as
+// reported by them. Instances of the previous version report only that it answers now.
+func peerAnsweredSpans(v mesh.View) []registry.Span {
 	var spans []registry.Span
 	for i := range v.Members {
 		m := &v.Members[i]
@@ -236,20 +244,21 @@
 	return spans
 }
 
-// Calls is how many calls were made to the store.
+// Calls returns the number of calls made to the store.
 func (f *Follower) Calls() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls
 }
 
-// away tells whether the store's log answers nobody, as far as known.
-func (f *Follower) away(v mesh.View) bool {
-	own := f.Log()
+// storeUnavailable reports whether an instance gets no response from the store's log and none is
+// known to get one.
+func (f *Follower) storeUnavailable(v mesh.View) bool {
+	own := f.LogState()
 	if own == mesh.LogAvailable {
 		return false
 	}
-	away := own == mesh.LogUnavailable
+	unavailable := own == mesh.LogUnavailable
 	for i := range v.Members {
 		m := &v.Members[i]
 		if !m.Fresh(v.At) {
@@ -259,7 +268,7 @@
 		case mesh.LogAvailable:
 			return false
 		case mesh.LogUnavailable:
-			away = true
+			unavailable = true
 		}
 	}
 	for i := range v.Zones {
@@ -267,92 +276,93 @@
 			return false
 		}
 	}
-	return away
+	return unavailable
 }
 
-// Ahead tells the follower that a peer has something newer.
-func (f *Follower) Ahead() {
+// NotifyAhead signals that a peer has newer state.
+func (f *Follower) NotifyAhead() {
 	select {
-	case f.ahead <- struct{}{}:
+	case f.peerAhead <- struct{}{}:
 	default:
 	}
 }
 
-// reads tells whether this instance reads the store at present.
-func (f *Follower) reads() bool {
-	v := f.o.Peers()
+// updateRole updates and returns whether this instance reads the store now.
+func (f *Follower) updateRole() bool {
+	v := f.opts.Peers()
 	var epoch registry.Epoch
-	if f.o.State != nil {
-		epoch = f.o.State.epoch()
+	if f.opts.State != nil {
+		epoch = f.opts.State.epoch()
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	role := f.o.ranked(v) || f.takesOver(v, epoch)
-	if role != f.role {
+	role := f.opts.isRankedReader(v) || f.shouldTakeOver(v, epoch)
+	if role != f.isReader {
 		eventlog.Info(eventlog.ReaderRole, "reads", role, "peers", len(v.Members))
-		f.role = role
-		// What the log answered in an earlier time as a reader says nothing now.
-		f.log = [streams]mesh.LogState{}
-		f.answering = time.Time{}
+		f.isReader = role
+		// Results from an earlier period as a reader are outdated.
+		f.logStates = [streamCount]mesh.LogState{}
+		f.answeredSince = time.Time{}
 	}
 	return role
 }
 
-// takesOver tells whether the instance reads in place of its zone's readers. One that
-// does so goes on unless one before it succeeds too, or two would give way to each
-// other. Readers that know of no epoch of the store, or of an earlier one, are no source: they
-// are of the version before, or about to notice.
-func (f *Follower) takesOver(v mesh.View, epoch registry.Epoch) bool {
-	if f.o.earlier(v) >= readersPerZone+takeOverMost {
+// shouldTakeOver reports whether the instance reads in place of its zone's readers. One that
+// already does so continues until an instance ranked before it succeeds too; otherwise the two
+// would yield to each other. Readers without the current epoch of the store do not count: they run
+// the previous version, or have not seen the restore yet.
+func (f *Follower) shouldTakeOver(v mesh.View, epoch registry.Epoch) bool {
+	if f.opts.precedingInZone(v) >= readersPerZone+maxTakeoverReaders {
 		return false
 	}
-	own := readerRank(f.o.Self)
+	own := readerRank(f.opts.Self)
 	yields := func(m *mesh.Member) bool {
-		return m.Registry.Epoch >= epoch && (!f.role || readerRank(m.Addr) < own)
+		return m.Registry.Epoch >= epoch && (!f.isReader || readerRank(m.Addr) < own)
 	}
-	if served(v, yields) {
-		f.unserved = time.Time{}
+	if zoneServed(v, yields) {
+		f.unservedSince = time.Time{}
 		return false
 	}
-	if f.unserved.IsZero() {
-		f.unserved = v.At
+	if f.unservedSince.IsZero() {
+		f.unservedSince = v.At
 	}
-	return v.At.Sub(f.unserved) >= time.Duration(f.o.place(v))*takeOverStep
+	return v.At.Sub(f.unservedSince) >= time.Duration(f.opts.takeoverPosition(v))*takeoverDelayStep
 }
 
-// settling tells whether it is too early to know who reads: until then a snapshot
-// suffices.
-func (f *Follower) settling(s Stream) bool {
-	return time.Since(f.started) < introWait && f.begun(s)
+// awaitingPeers reports whether it is too early after the start to know which instances are
+// readers. A snapshot is enough until then.
+func (f *Follower) awaitingPeers(s Stream) bool {
+	return time.Since(f.started) < introDelay && f.hasSnapshot(s)
 }
 
-// readerRank is an instance's place in the order by which instances read the store; the
-// lowest comes first. It is the reverse of the order of bridges, so that the instances that
-// pass on other zones' news, whose links are the fullest, are not those that all others wait
-// for with a change.
+// readerRank returns an instance's rank in the order by which the instances of a zone become
+// readers, lowest first. It is the reverse of the order of bridges (instances that relay updates
+// between zones): the links of bridges carry the most traffic, and all other instances wait for
+// the readers.
 func readerRank(addr string) uint64 { return ^mesh.Rank(addr) }
 
-// ranked tells whether the instance is among the first of its zone.
-func (o *Options) ranked(v mesh.View) bool {
+// isRankedReader reports whether the instance's rank makes it a reader of its zone.
+func (o *Options) isRankedReader(v mesh.View) bool {
 	if len(v.Zones) == 0 {
-		return o.earlier(v) < readersAlone
+		return o.precedingInZone(v) < singleZoneReaders
 	}
-	return o.earlier(v) < readersPerZone
+	return o.precedingInZone(v) < readersPerZone
 }
 
-// earlier is how many instances of the zone come before this one.
-func (o *Options) earlier(v mesh.View) int {
-	return o.before(v, func(*mesh.Member) bool { return true })
+// precedingInZone returns the number of instances of the zone ranked before this one.
+func (o *Options) precedingInZone(v mesh.View) int {
+	return o.countPreceding(v, func(*mesh.Member) bool { return true })
 }
 
-// place is how many instances of the zone come before this one that may still get
-// answers.
-func (o *Options) place(v mesh.View) int {
-	return o.before(v, func(m *mesh.Member) bool { return m.Log != mesh.LogUnavailable })
+// takeoverPosition returns the number of instances of the zone ranked before this one that may
+// still get responses from the store.
+func (o *Options) takeoverPosition(v mesh.View) int {
+	return o.countPreceding(v, func(m *mesh.Member) bool { return m.Log != mesh.LogUnavailable })
 }
 
-// before counts the instances of the zone that come before this one.
-func (o *Options) before(v mesh.View, counts func(*mesh.Member) bool) int {
+// countPreceding returns the number of instances of the zone ranked before this one for which
+// counts returns true.
+func (o *Options) countPreceding(v mesh.View, counts func(*mesh.Member) bool) int {
 	own := readerRank(o.Self)
 	n := 0
 	for i := range v.Members {
@@ -364,9 +374,9 @@
 	return n
 }
 
-// served tells whether some other instance of the zone, of those that count, reads the
-// store with success.
-func served(v mesh.View, counts func(*mesh.Member) bool) bool {
+// zoneServed reports whether another instance of the zone for which counts returns true reads the
+// store successfully.
+func zoneServed(v mesh.View, counts func(*mesh.Member) bool) bool {
 	for i := range v.Members {
 		if m := &v.Members[i]; m.Zone == v.Zone && m.Log == mesh.LogAvailable && v.Responsive(m) && counts(m) {
 			return true
@@ -375,159 +385,160 @@
 	return false
 }
 
-// follow reads one stream.
-func (f *Follower) follow(ctx context.Context, s Stream) {
-	b := wait.Backoff{Min: backOffMin, Max: backOffMax}
-	f.restedFrom[s] = time.Now()
+// followStream reads one stream until ctx is done.
+func (f *Follower) followStream(ctx context.Context, s Stream) {
+	b := wait.Backoff{Min: minBackoff, Max: maxBackoff}
+	f.idleSince[s] = time.Now()
 	for ctx.Err() == nil {
-		if !f.reads() || f.settling(s) {
-			wait.For(ctx, roleEvery)
-			f.restedFrom[s] = time.Now()
+		if !f.updateRole() || f.awaitingPeers(s) {
+			wait.For(ctx, roleCheckInterval)
+			f.idleSince[s] = time.Now()
 			continue
 		}
-		n, err := f.step(ctx, s)
+		n, err := f.readOnce(ctx, s)
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, errRestored) || errors.Is(err, errOvertaken) {
-			f.restedFrom[s] = time.Now()
+		if errors.Is(err, errRestored) || errors.Is(err, errSuperseded) {
+			f.idleSince[s] = time.Now()
 			continue
 		}
-		f.note(s, err)
+		f.recordResult(s, err)
 		if err != nil {
-			b.Max = f.backOffMost()
+			b.Max = f.backoffLimit()
 			b.Pause(ctx)
-			f.restedFrom[s] = time.Now()
+			f.idleSince[s] = time.Now()
 			continue
 		}
 		b.Reset()
-		f.restedFrom[s] = time.Now()
+		f.idleSince[s] = time.Now()
 		if n > 0 {
-			wait.For(ctx, settle)
+			wait.For(ctx, coalesceDelay)
 		}
 	}
 }
 
-// backOffMost bounds the pause after an error.
-func (f *Follower) backOffMost() time.Duration {
-	if f.o.ranked(f.o.Peers()) {
-		return backOffMax
+// backoffLimit returns the upper bound of the backoff after an error.
+func (f *Follower) backoffLimit() time.Duration {
+	if f.opts.isRankedReader(f.opts.Peers()) {
+		return maxBackoff
 	}
-	return backOffOthers
+	return maxTakeoverBackoff
 }
 
-// step makes one call for the stream and returns how many changes it brought.
-func (f *Follower) step(ctx context.Context, s Stream) (int, error) {
-	next := f.o.State.next(s)
-	if next.Offset == 0 && !f.begun(s) {
-		return 0, f.snapshot(ctx, s)
+// readOnce makes one store call for the stream and returns the number of changes received.
+func (f *Follower) readOnce(ctx context.Context, s Stream) (int, error) {
+	next := f.opts.State.next(s)
+	if next.Offset == 0 && !f.hasSnapshot(s) {
+		return 0, f.readSnapshot(ctx, s)
 	}
 	began := time.Now()
 	b, err := f.readChanges(ctx, s, next)
-	if time.Since(began) < atOnce {
-		b.Age = time.Since(f.restedFrom[s])
+	if time.Since(began) < maxImmediateLatency {
+		b.MaxAge = time.Since(f.idleSince[s])
 	}
-	// What a later epoch holds at this offset does not follow what is known.
+	// The changes of a later epoch do not follow the known state.
 	if errors.Is(err, ErrExpired) || b.Epoch > next.Epoch {
-		return 0, f.snapshot(ctx, s)
+		return 0, f.readSnapshot(ctx, s)
 	}
 	if err != nil {
 		return 0, err
 	}
 	if b.earlierThan(next.Epoch) {
-		return 0, errEarlierEpoch
+		return 0, errStaleEpoch
 	}
-	f.o.State.applyBatch(s, b, "store")
+	f.opts.State.applyBatch(s, b, "store")
 	return len(b.Records), nil
 }
 
-// readChanges waits for changes from a position on, until the store is known to be in a later
-// epoch.
+// readChanges waits for changes from a position on. It returns errRestored if the store is found
+// to be in a later epoch meanwhile, and errSuperseded if a peer's newer state replaced the read.
 func (f *Follower) readChanges(ctx context.Context, s Stream, next registry.Position) (Batch, error) {
-	held := f.wait(s)
-	f.count()
-	waits, end := context.WithCancelCause(ctx)
-	defer end(nil)
-	call, cancel := context.WithTimeout(waits, held+callSlack)
+	pollWait := f.readWait(s)
+	f.countCall()
+	readCtx, cancelRead := context.WithCancelCause(ctx)
+	defer cancelRead(nil)
+	call, cancel := context.WithTimeout(readCtx, pollWait+callTimeoutMargin)
 	defer cancel()
-	f.hang(s, next, end)
-	defer f.hang(s, next, nil)
-	began := time.Now()
-	b, err := f.o.Store.Read(call, s, next.Offset, held)
-	if cause := context.Cause(waits); err != nil && (errors.Is(cause, errRestored) || errors.Is(cause, errOvertaken)) {
+	f.setPendingRead(s, next, cancelRead)
+	defer f.setPendingRead(s, next, nil)
+	start := time.Now()
+	b, err := f.opts.Store.Read(call, s, next.Offset, pollWait)
+	if cause := context.Cause(readCtx); err != nil && (errors.Is(cause, errRestored) || errors.Is(cause, errSuperseded)) {
 		return Batch{}, cause
 	}
 	if s == Targets {
-		f.noteAnswer(err, began, held)
+		f.recordAnswer(err, start, pollWait)
 	}
 	return b, err
 }
 
-// noteAnswer notes whether a read of targets, which had a time to wait, was answered. One that was
-// late tells that the store did not answer meanwhile.
-func (f *Follower) noteAnswer(err error, began time.Time, held time.Duration) {
+// recordAnswer records whether a read of targets with the given wait was answered. A late response
+// means that the store was unavailable meanwhile.
+func (f *Follower) recordAnswer(err error, start time.Time, pollWait time.Duration) {
 	now := time.Now()
 	f.mu.Lock()
 	if err != nil && !errors.Is(err, ErrExpired) {
-		f.answering = time.Time{}
+		f.answeredSince = time.Time{}
 		f.mu.Unlock()
 		return
 	}
-	switch late := now.Sub(began) > held+lateAnswer; {
-	case late, f.answering.IsZero() && held < targetsWait:
-		f.answering = now
-	case f.answering.IsZero():
-		f.answering = began // the instance has become a reader meanwhile
+	switch late := now.Sub(start) > pollWait+lateResponseThreshold; {
+	case late, f.answeredSince.IsZero() && pollWait < targetsWait:
+		f.answeredSince = now
+	case f.answeredSince.IsZero():
+		f.answeredSince = start // the instance became a reader during this read
 	}
-	span := registry.Span{From: f.answering, Until: now}
+	span := registry.Span{From: f.answeredSince, Until: now}
 	f.mu.Unlock()
-	f.o.State.recordAnswered(span)
+	f.opts.State.recordAnswered(span)
 }
 
-// hang remembers how the stream's read is ended; end is nil once it has ended.
-func (f *Follower) hang(s Stream, from registry.Position, end context.CancelCauseFunc) {
+// setPendingRead records the function that cancels the stream's read; cancel is nil once the read
+// has ended.
+func (f *Follower) setPendingRead(s Stream, from registry.Position, cancel context.CancelCauseFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hanging[s] = hangingRead{end: end, number: f.hanging[s].number + 1, from: from}
+	f.pendingReads[s] = pendingRead{cancel: cancel, id: f.pendingReads[s].id + 1, from: from}
 }
 
-func (f *Follower) snapshot(ctx context.Context, s Stream) error {
-	f.count()
-	call, cancel := context.WithTimeout(ctx, 2*callSlack)
+func (f *Follower) readSnapshot(ctx context.Context, s Stream) error {
+	f.countCall()
+	call, cancel := context.WithTimeout(ctx, 2*callTimeoutMargin)
 	defer cancel()
-	b, err := f.o.Store.Snapshot(call, s)
+	b, err := f.opts.Store.Snapshot(call, s)
 	if err != nil {
 		return err
 	}
-	if b.earlierThan(f.o.State.next(s).Epoch) {
-		return errEarlierEpoch
+	if b.earlierThan(f.opts.State.next(s).Epoch) {
+		return errStaleEpoch
 	}
-	f.o.State.applySnapshot(s, b, "store snapshot")
+	f.opts.State.applySnapshot(s, b, "store snapshot")
 	f.mu.Lock()
-	f.read[s] = true
+	f.snapshotDone[s] = true
 	f.mu.Unlock()
 	return nil
 }
 
-// begun tells whether the stream was read before; one that is empty is then read
-// from its first record on.
-func (f *Follower) begun(s Stream) bool {
+// hasSnapshot reports whether a snapshot of the stream was read. A stream that is still empty is
+// then read from its first record.
+func (f *Follower) hasSnapshot(s Stream) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.read[s]
+	return f.snapshotDone[s]
 }
 
-func (f *Follower) count() {
+func (f *Follower) countCall() {
 	f.mu.Lock()
 	f.calls++
 	f.mu.Unlock()
 }
 
-// wait is how long the next read of a stream waits for a change.
-func (f *Follower) wait(s Stream) time.Duration {
+// readWait returns the long-poll wait of the stream's next read.
+func (f *Follower) readWait(s Stream) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	switch f.log[s] {
+	switch f.logStates[s] {
 	case mesh.LogUnread:
 		return firstWait
 	case mesh.LogUnavailable:
@@ -539,28 +550,28 @@
 	return documentsWait
 }
 
-// note records whether the store answered, and tells the others if that is news.
-func (f *Follower) note(s Stream, err error) {
-	before := f.Log()
-	f.record(s, err)
-	if f.Log() != before && f.o.Tell != nil {
-		f.o.Tell()
+// recordResult records whether the store answered, and announces a change of this to the peers.
+func (f *Follower) recordResult(s Stream, err error) {
+	before := f.LogState()
+	f.updateLogState(s, err)
+	if f.LogState() != before && f.opts.Announce != nil {
+		f.opts.Announce()
 	}
 }
 
-func (f *Follower) record(s Stream, err error) {
+func (f *Follower) updateLogState(s Stream, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.log[s] = mesh.LogAvailable
+	f.logStates[s] = mesh.LogAvailable
 	if err != nil {
-		f.log[s] = mesh.LogUnavailable
+		f.logStates[s] = mesh.LogUnavailable
 	}
-	lost := f.log[Documents] == mesh.LogUnavailable || f.log[Targets] == mesh.LogUnavailable
+	storeLost := f.logStates[Documents] == mesh.LogUnavailable || f.logStates[Targets] == mesh.LogUnavailable
 	switch {
-	case lost && !f.lost:
+	case storeLost && !f.storeLost:
 		eventlog.Error(eventlog.StoreUnreachable, err, "stream", s.String())
-	case !lost && f.lost:
+	case !storeLost && f.storeLost:
 		eventlog.Info(eventlog.StoreReachable, "stream", s.String())
 	}
-	f.lost = lost
+	f.storeLost = storeLost
 }
--- a/statesync/fuzz_test.go
+++ b/statesync/fuzz_test.go
@@ -8,10 +8,10 @@
 	"github.com/clementinereel/clementinereel/registry"
 )
 
-// FuzzWhole: whatever a peer answers to a pull is refused or taken in.
+// FuzzWhole checks that any response to a pull is either rejected or applied.
 func FuzzWhole(f *testing.F) {
 	e := registry.Entry{ID: "a", Service: "s", Sequence: 4}
-	for _, w := range []Whole{
+	for _, w := range []PeerSnapshot{
 		{Document: documentOf(7), NextDocument: 1, Registry: 2, Entries: []registry.Entry{e}, Starts: []int64{9}},
 		{Registry: 2, Epoch: 3, Entries: []registry.Entry{e}, Removed: []registry.Removed{{ID: "b", Sequence: 2, Noticed: true}}, RestoreAgeMillis: 7},
 		{Registry: 2, Changes: []registry.Change{{Offset: 0, ID: "a", Entry: &e}, {Offset: 1, ID: "a"}}, Vanished: []registry.Vanished{{ID: "a", AgeMillis: 3}}},
@@ -23,17 +23,17 @@
 		f.Add(b)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		w, err := decodeWhole(data)
+		w, err := decodePeerSnapshot(data)
 		if err != nil {
 			return
 		}
 		s := NewState(0, nil)
-		s.applyWhole(w, "peer", false)
-		s.applyWhole(w, "peer", true)
-		s.whole(request{})
-		s.whole(request{all: true})
+		s.applyPeerSnapshot(w, "peer", false)
+		s.applyPeerSnapshot(w, "peer", true)
+		s.peerSnapshot(pullRequest{})
+		s.peerSnapshot(pullRequest{full: true})
 		if table := s.Table(); table != nil && table.Document.Check() != nil {
-			t.Fatal("a document is in force that fails its check")
+			t.Fatal("the document in force fails its check")
 		}
 	})
 }
--- a/statesync/introduce.go
+++ b/statesync/introduce.go
@@ -12,34 +12,33 @@
 )
 
 const (
-	// introWait is how long a fresh instance waits to be heard through its seeds.
-	introWait = time.Second
-	// announcedPerZone is how many instances of a zone have their addresses in the store, for
-	// processes that none of their seeds answers; introEvery is how often the others look
-	// whether they have become one of these. Each call has its price.
-	announcedPerZone = 3
-	introEvery       = 5 * time.Second
-	// introSpread is the time over which instances announce themselves again after a restore.
-	introSpread = time.Second
+	// introDelay is how long a new instance waits for contact through its seeds before it uses the
+	// store.
+	introDelay = time.Second
+	// announcersPerZone is the number of instances per zone that keep their addresses in the
+	// store, for processes whose seeds do not respond. introCheckInterval is how often the other
+	// instances check whether they have become announcers. Each store call has a cost.
+	announcersPerZone  = 3
+	introCheckInterval = 5 * time.Second
+	// introJitter is the period over which instances spread their announcements after a restore.
+	introJitter = time.Second
 )
 
-// announces tells whether the instance is one of those of its zone that announce
-// themselves.
-func (o *Options) announces(v mesh.View) bool {
-	return o.earlier(v) < announcedPerZone
+// isAnnouncer reports whether the instance is one of those of its zone that announce themselves.
+func (o *Options) isAnnouncer(v mesh.View) bool {
+	return o.precedingInZone(v) < announcersPerZone
 }
 
-// introduce makes the instance and its peers known to each other through the
-// store, where the seeds do not suffice. Where they do, a few instances of each zone announce
-// themselves for those that come later, and again when the store was restored from a copy that
-// may lack that.
+// introduce connects the instance with its peers through the store if the seeds do not suffice. In
+// any case a few instances of each zone announce themselves for later ones, and again after the
+// store was restored from a copy that may lack their addresses.
 func (f *Follower) introduce(ctx context.Context) {
-	wait.For(ctx, introWait)
-	b := wait.Backoff{Min: backOffMin, Max: introBackOffMax}
-	announcedIn := registry.Epoch(-1) // in none
+	wait.For(ctx, introDelay)
+	b := wait.Backoff{Min: minBackoff, Max: maxIntroBackoff}
+	announcedIn := registry.Epoch(-1) // not announced yet
 	for ctx.Err() == nil {
-		if announcedIn >= f.o.State.epoch() || !f.o.announces(f.o.Peers()) {
-			f.waitForRestore(ctx, introEvery)
+		if announcedIn >= f.opts.State.epoch() || !f.opts.isAnnouncer(f.opts.Peers()) {
+			f.waitForRestore(ctx, introCheckInterval)
 			continue
 		}
 		epoch, err := f.introduceOnce(ctx)
@@ -53,30 +52,30 @@
 	}
 }
 
-// waitForRestore waits until the store was restored, for a while at most, and a moment longer
-// then, that instances do not ask the store all at once.
-func (f *Follower) waitForRestore(ctx context.Context, most time.Duration) {
+// waitForRestore waits until the store is restored, for at most the given time. After a restore it
+// adds a random delay so that the instances do not call the store all at once.
+func (f *Follower) waitForRestore(ctx context.Context, timeout time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(most):
-	case <-f.moved:
-		wait.For(ctx, rand.N(introSpread))
+	case <-time.After(timeout):
+	case <-f.restoreNotify:
+		wait.For(ctx, rand.N(introJitter))
 	}
 }
 
-// introduceOnce announces the instance and returns the store's epoch; one that has met no peer
-// asks for theirs first.
+// introduceOnce announces the instance and returns the store's epoch. If the instance has no
+// peers, it first reads their addresses from the store.
 func (f *Follower) introduceOnce(ctx context.Context) (registry.Epoch, error) {
-	call, cancel := context.WithTimeout(ctx, 2*callSlack)
+	call, cancel := context.WithTimeout(ctx, 2*callTimeoutMargin)
 	defer cancel()
-	if len(f.o.Peers().Members) == 0 {
-		f.count()
-		addrs, err := f.o.Store.Addresses(call)
+	if len(f.opts.Peers().Members) == 0 {
+		f.countCall()
+		addrs, err := f.opts.Store.Addresses(call)
 		if err != nil {
 			return 0, err
 		}
-		f.o.Know(addrs)
+		f.opts.OnAddresses(addrs)
 	}
-	f.count()
-	return f.o.Store.Announce(call, f.o.Self)
+	f.countCall()
+	return f.opts.Store.Announce(call, f.opts.Self)
 }
--- a/statesync/path_model_test.go
+++ b/statesync/path_model_test.go
@@ -17,37 +17,41 @@
 	"github.com/clementinereel/clementinereel/registry"
 )
 
-// The path of a change in the store to every instance of a fleet, with real Followers on a clock of
-// the test: their store, their datagrams and their pulls are models. It runs in a bubble of
-// testing/synctest.
+// This file models the path of a change from the store to every instance of a fleet. The States and
+// Followers are real; the store, the datagrams and the pulls are simulated. The model runs in a
+// testing/synctest bubble.
 
-// Times of the modelled platform and network.
+// Times and rates of the simulated platform and network.
 const (
 	storeLatency = 3 * time.Millisecond
 	peerLatency  = time.Millisecond
-	// renewEvery and lapseAfter are how often targets renew their entries, and when one that
-	// is not renewed lapses.
-	renewEvery = 1500 * time.Millisecond
-	lapseAfter = 3 * renewEvery
-	// backWithin bounds how long after the store's return living targets have registered anew.
-	backWithin = 1900 * time.Millisecond
-	// lostShare is the part of the datagrams that are lost, hangShare that of pulls that hang.
-	lostShare = 0.1
-	hangShare = 0.1
-	// digestPeriod is the time between digests of bridges, relayDelay what a bridge may hold one back.
-	digestPeriod = 300 * time.Millisecond
-	relayDelay   = 40 * time.Millisecond
-	tickEvery    = 100 * time.Millisecond
+	// renewInterval is the interval at which targets renew their entries; an entry that is not
+	// renewed expires after entryTTL.
+	renewInterval = 1500 * time.Millisecond
+	entryTTL      = 3 * renewInterval
+	// maxReregisterDelay is the longest time after the store's return until a live target has
+	// registered again.
+	maxReregisterDelay = 1900 * time.Millisecond
+	// packetLossRate is the fraction of datagrams that are lost, and pullHangRate that of pulls
+	// that hang.
+	packetLossRate = 0.1
+	pullHangRate   = 0.1
+	// digestInterval is the interval between the digests of a bridge; maxRelayDelay is the longest
+	// time for which a bridge may delay one that it relays.
+	digestInterval = 300 * time.Millisecond
+	maxRelayDelay  = 40 * time.Millisecond
+	tickInterval   = 100 * time.Millisecond
 )
 
-// storeModel is the platform's store.
+// storeModel simulates the platform's store.
 type storeModel struct {
 	mu      sync.Mutex
 	records []Record
 	wake    chan struct{}
-	// down: no call is answered, or each is refused at once.
-	down, refuses bool
-	// generation counts the times at which connections were lost: reads on earlier ones stay silent.
+	// down makes the store unavailable: calls hang, or fail at once if rejects is set.
+	down, rejects bool
+	// generation counts how often all connections were broken; reads started in an earlier
+	// generation never get a response.
 	generation int
 }
 
@@ -66,39 +70,40 @@
 	s.wakeAll()
 }
 
-// setDown makes the store answer nobody, or come back. Silent connections of before stay silent if
-// broken is set.
-func (s *storeModel) setDown(down, refuses, broken bool) {
+// setDown makes the store unavailable or available again. If broken is set, reads that are open
+// now never get a response.
+func (s *storeModel) setDown(down, rejects, broken bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down, s.refuses = down, refuses
+	s.down, s.rejects = down, rejects
 	if broken {
 		s.generation++
 	}
 	s.wakeAll()
 }
 
-// storeClient is one instance's way to the store.
+// storeClient is one instance's connection to the store.
 type storeClient struct {
 	store *storeModel
 	mu    sync.Mutex
-	// silenced counts the times at which the instance's open connections went silent; refused is
-	// until when the store turns the instance away.
-	silenced int
-	refused  time.Time
+	// silenced counts how often the instance's open connections went silent; the store rejects the
+	// instance's calls until rejectedUntil.
+	silenced      int
+	rejectedUntil time.Time
 }
 
-var errTurnedAway = errors.New("503")
+var errRejected = errors.New("503")
 
-// ready waits until the store answers the instance, and tells the records then.
-func (c *storeClient) ready(ctx context.Context, from int) ([]Record, chan struct{}, error) {
+// readFrom returns the records from an offset on, or none while the store hangs, and a channel
+// that is closed at the next change. It fails if the store rejects the instance's calls.
+func (c *storeClient) readFrom(ctx context.Context, from int) ([]Record, chan struct{}, error) {
 	c.mu.Lock()
-	refused := time.Now().Before(c.refused)
+	rejected := time.Now().Before(c.rejectedUntil)
 	c.mu.Unlock()
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
-	if refused || c.store.down && c.store.refuses {
-		return nil, nil, errTurnedAway
+	if rejected || c.store.down && c.store.rejects {
+		return nil, nil, errRejected
 	}
 	if c.store.down {
 		return nil, c.store.wake, nil
@@ -106,8 +111,8 @@
 	return c.store.records[min(from, len(c.store.records)):], c.store.wake, nil
 }
 
-// connection identifies what a call depends on to be answered.
-func (c *storeClient) connection() [2]int {
+// connectionID identifies the connection of a call; if it changes, the call gets no response.
+func (c *storeClient) connectionID() [2]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.store.mu.Lock()
@@ -123,15 +128,15 @@
 
 // Read implements Store.
 func (c *storeClient) Read(ctx context.Context, s Stream, from registry.Offset, wait time.Duration) (Batch, error) {
-	conn := c.connection()
+	conn := c.connectionID()
 	time.Sleep(storeLatency)
-	over := time.After(wait)
+	timeout := time.After(wait)
 	for {
-		records, wake, err := c.ready(ctx, int(from))
+		records, wake, err := c.readFrom(ctx, int(from))
 		if err != nil {
 			return Batch{}, err
 		}
-		if c.connection() != conn { // it went silent
+		if c.connectionID() != conn { // the connection went silent
 			<-ctx.Done()
 			return Batch{}, ctx.Err()
 		}
@@ -145,14 +150,14 @@
 		case <-wake:
 		case <-ctx.Done():
 			return Batch{}, ctx.Err()
-		case <-over:
-			if !c.isDown() && c.connection() == conn {
+		case <-timeout:
+			if !c.isDown() && c.connectionID() == conn {
 				return Batch{Next: from}, nil
 			}
-			over = nil // answered when the store is back, if the connection lives
+			timeout = nil // respond when the store is available again, if the connection is intact
 		}
-		if over == nil && !c.isDown() && c.connection() == conn {
-			records, _, err := c.ready(ctx, int(from))
+		if timeout == nil && !c.isDown() && c.connectionID() == conn {
+			records, _, err := c.readFrom(ctx, int(from))
 			return Batch{Next: from + registry.Offset(len(records)), Records: slices.Clone(records)}, err
 		}
 	}
@@ -161,7 +166,7 @@
 // Snapshot implements Store.
 func (c *storeClient) Snapshot(ctx context.Context, s Stream) (Batch, error) {
 	time.Sleep(storeLatency)
-	records, _, err := c.ready(ctx, 0)
+	records, _, err := c.readFrom(ctx, 0)
 	if err != nil {
 		return Batch{}, err
 	}
@@ -191,7 +196,7 @@
 // Announce implements Store.
 func (c *storeClient) Announce(context.Context, string) (registry.Epoch, error) { return 0, nil }
 
-// instanceModel is one instance: a real State and Follower.
+// instanceModel is one instance with a real State and Follower.
 type instanceModel struct {
 	fleet    *fleetModel
 	addr     string
@@ -200,30 +205,30 @@
 	state    *State
 	follower *Follower
 	stop     context.CancelFunc
-	// place is its place in the order of its zone's ranks.
-	place int
-	// late is by how much everything that others tell arrives later.
-	late time.Duration
+	// rank is its rank in its zone by mesh.Rank.
+	rank int
+	// extraLatency is added to the latency of all packets sent to the instance.
+	extraLatency time.Duration
 
 	mu    sync.Mutex
-	heard map[string]mesh.Member
+	peers map[string]mesh.Member
 	zones map[fleet.Zone]mesh.Zone
-	// calmFrom is since when nothing disturbs the instance.
-	calmFrom time.Time
+	// calmSince is the time since which no fault affects the instance.
+	calmSince time.Time
 }
 
-// fleetModel is all instances and their store.
+// fleetModel is a fleet of instances and their store.
 type fleetModel struct {
-	random   *rand.Rand
-	mu       sync.Mutex // guards random
-	store    *storeModel
-	zones    []fleet.Zone
-	members  []*instanceModel
-	byAddr   map[string]*instanceModel
-	interval time.Duration
-	bound    time.Duration
-	// hangs tells that pulls may hang.
-	hangs bool
+	random       *rand.Rand
+	mu           sync.Mutex // guards random
+	store        *storeModel
+	zones        []fleet.Zone
+	members      []*instanceModel
+	byAddr       map[string]*instanceModel
+	interval     time.Duration
+	removalBound time.Duration
+	// pullsHang makes a fraction of the pulls hang.
+	pullsHang bool
 }
 
 func (f *fleetModel) chance(p float64) bool {
@@ -232,14 +237,14 @@
 	return f.random.Float64() < p
 }
 
-func (f *fleetModel) upTo(d time.Duration) time.Duration {
+func (f *fleetModel) randomDuration(d time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Duration(f.random.Int64N(int64(d) + 1))
 }
 
-// newFleetModel makes a fleet of so many instances, in three zones or, if it is large, in five; none runs
-// yet.
+// newFleetModel returns a fleet of size instances in three zones, or five if it is large. The
+// instances are not started.
 func newFleetModel(seed uint64, size int, bound time.Duration) *fleetModel {
 	const small = 60
 	zones := 5
@@ -249,7 +254,7 @@
 	perZone := size / zones
 	const perMember, least, most = 24 * time.Millisecond, 300 * time.Millisecond, 1400 * time.Millisecond
 	f := &fleetModel{
-		random: rand.New(rand.NewPCG(seed, 1)), store: newStoreModel(), byAddr: make(map[string]*instanceModel), bound: bound, hangs: true,
+		random: rand.New(rand.NewPCG(seed, 1)), store: newStoreModel(), byAddr: make(map[string]*instanceModel), removalBound: bound, pullsHang: true,
 		interval: min(max(time.Duration(perZone)*perMember, least), most),
 	}
 	for z := range zones {
@@ -263,28 +268,28 @@
 	for _, m := range f.members {
 		for _, o := range f.members {
 			if o.zone == m.zone && mesh.Rank(o.addr) < mesh.Rank(m.addr) {
-				m.place++
+				m.rank++
 			}
 		}
 	}
 	return f
 }
 
-// start begins a process of the instance that knows nothing.
+// start starts a new process of the instance, with empty state.
 func (m *instanceModel) start(ctx context.Context) {
 	ctx, m.stop = context.WithCancel(ctx)
 	m.mu.Lock()
-	m.heard, m.zones = make(map[string]mesh.Member), make(map[fleet.Zone]mesh.Zone)
-	m.calmFrom = time.Now()
+	m.peers, m.zones = make(map[string]mesh.Member), make(map[fleet.Zone]mesh.Zone)
+	m.calmSince = time.Now()
 	m.mu.Unlock()
 	m.state = NewState(1, m.announce)
-	m.state.SetRemovalBound(m.fleet.bound)
+	m.state.SetRemovalBound(m.fleet.removalBound)
 	m.follower = NewFollower(Options{
-		State: m.state, Store: m.store, Peers: m.view, Self: m.addr, Zone: m.zone, Know: func([]string) {}, Tell: m.announce,
+		State: m.state, Store: m.store, Peers: m.view, Self: m.addr, Zone: m.zone, OnAddresses: func([]string) {}, Announce: m.announce,
 	})
 	m.follower.puller.http.Transport = &pullModel{m.fleet}
 	go m.follower.Run(ctx)
-	go m.beat(ctx)
+	go m.sendHeartbeats(ctx)
 	go m.tick(ctx)
 }
 
@@ -292,7 +297,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	v := mesh.View{At: time.Now(), Zone: m.zone, Interval: m.fleet.interval}
-	for _, p := range m.heard {
+	for _, p := range m.peers {
 		v.Members = append(v.Members, p)
 	}
 	for _, z := range m.zones {
@@ -302,125 +307,126 @@
 }
 
 func (m *instanceModel) tick(ctx context.Context) {
-	time.Sleep(m.fleet.upTo(tickEvery))
+	time.Sleep(m.fleet.randomDuration(tickInterval))
 	for ctx.Err() == nil {
 		m.follower.Tick(time.Now(), m.view())
-		time.Sleep(tickEvery)
+		time.Sleep(tickInterval)
 	}
 }
 
-// beat sends heartbeats, and digests to other zones if the instance is a bridge.
-func (m *instanceModel) beat(ctx context.Context) {
+// sendHeartbeats sends heartbeats, and digests to other zones if the instance is a bridge.
+func (m *instanceModel) sendHeartbeats(ctx context.Context) {
 	var digestAt time.Time
 	for ctx.Err() == nil {
 		p := m.packet()
 		p.Heartbeat = true
-		m.tell(p)
-		if m.bridges() && time.Since(digestAt) >= digestPeriod {
+		m.sendToZone(p)
+		if m.isBridge() && time.Since(digestAt) >= digestInterval {
 			digestAt = time.Now()
-			m.tellZones(p)
+			m.sendToZones(p)
 		}
-		every := m.fleet.interval
-		if m.follower.Log() != mesh.LogUnread || m.bridges() {
-			every = min(every, 300*time.Millisecond)
+		interval := m.fleet.interval
+		if m.follower.LogState() != mesh.LogUnread || m.isBridge() {
+			interval = min(interval, 300*time.Millisecond)
 		}
-		time.Sleep(every)
+		time.Sleep(interval)
 	}
 }
 
-// bridges tells whether the instance stands between its zone and the others.
-func (m *instanceModel) bridges() bool { return m.place < 2 }
+// isBridge reports whether the instance relays packets between its zone and the others.
+func (m *instanceModel) isBridge() bool { return m.rank < 2 }
 
 func (m *instanceModel) packet() *mesh.Packet {
 	p := &mesh.Packet{Addr: m.addr, Zone: m.zone}
 	m.follower.Fill(p)
-	p.Departures = m.state.DeparturesToTell(time.Now())
+	p.Departures = m.state.DeparturesToAnnounce(time.Now())
 	return p
 }
 
-// announce tells the zone at once that the state has moved on, and a bridge tells those of the
-// other zones.
+// announce sends the instance's state to its zone at once, and if it is a bridge, to the bridges
+// of the other zones.
 func (m *instanceModel) announce() {
 	p := m.packet()
-	m.tell(p)
-	if !m.bridges() {
+	m.sendToZone(p)
+	if !m.isBridge() {
 		return
 	}
 	for _, o := range m.fleet.members {
-		if o.zone != m.zone && o.bridges() && !m.fleet.chance(lostShare) {
-			time.AfterFunc(peerLatency+o.late, func() { o.hear(p) })
+		if o.zone != m.zone && o.isBridge() && !m.fleet.chance(packetLossRate) {
+			time.AfterFunc(peerLatency+o.extraLatency, func() { o.receive(p) })
 		}
 	}
 }
 
-// tell sends a datagram to each other instance of the zone.
-func (m *instanceModel) tell(p *mesh.Packet) {
+// sendToZone sends a datagram to each other instance of the zone.
+func (m *instanceModel) sendToZone(p *mesh.Packet) {
 	for _, o := range m.fleet.members {
-		if o.zone == m.zone && o != m && !m.fleet.chance(lostShare) {
-			time.AfterFunc(peerLatency+o.late, func() { o.hear(p) })
+		if o.zone == m.zone && o != m && !m.fleet.chance(packetLossRate) {
+			time.AfterFunc(peerLatency+o.extraLatency, func() { o.receive(p) })
 		}
 	}
 }
 
-// tellZones sends a digest to the bridges of the other zones, which pass it on.
-func (m *instanceModel) tellZones(p *mesh.Packet) {
+// sendToZones sends a digest to the bridges of the other zones, which relay it.
+func (m *instanceModel) sendToZones(p *mesh.Packet) {
 	for _, z := range m.fleet.zones {
-		if z == m.zone || m.fleet.chance(lostShare) {
+		if z == m.zone || m.fleet.chance(packetLossRate) {
 			continue
 		}
-		after := peerLatency + m.fleet.upTo(relayDelay)
+		delay := peerLatency + m.fleet.randomDuration(maxRelayDelay)
 		for _, o := range m.fleet.members {
-			if o.zone != z || m.fleet.chance(lostShare) {
+			if o.zone != z || m.fleet.chance(packetLossRate) {
 				continue
 			}
-			if o.bridges() {
-				time.AfterFunc(peerLatency+o.late, func() { o.hear(p) })
+			if o.isBridge() {
+				time.AfterFunc(peerLatency+o.extraLatency, func() { o.receive(p) })
 			}
-			time.AfterFunc(after+o.late, func() { o.hearZone(p, after) })
+			time.AfterFunc(delay+o.extraLatency, func() { o.receiveZone(p, delay) })
 		}
 	}
 }
 
-func (m *instanceModel) hear(p *mesh.Packet) {
+func (m *instanceModel) receive(p *mesh.Packet) {
 	now := time.Now()
 	m.mu.Lock()
-	o := m.heard[p.Addr]
+	o := m.peers[p.Addr]
 	o.Addr, o.Zone = p.Addr, p.Zone
 	o.Update(now, p)
-	m.heard[p.Addr] = o
+	m.peers[p.Addr] = o
 	m.mu.Unlock()
-	m.takeDepartures(p, p.Zone != m.zone)
+	m.handleDepartures(p, p.Zone != m.zone)
 	if m.state.Behind(now, p.Document, p.Position()) {
-		m.follower.Ahead()
+		m.follower.NotifyAhead()
 	}
 }
 
-// takeDepartures takes in which targets leave, and passes on what is news from another zone.
-func (m *instanceModel) takeDepartures(p *mesh.Packet, pass bool) {
-	if news := m.state.Depart(p.Departures, p.Addr); pass && len(news) > 0 {
-		m.tellDepartures(news, false)
+// handleDepartures records departures, and forwards the new ones to the own zone if forward is
+// set.
+func (m *instanceModel) handleDepartures(p *mesh.Packet, forward bool) {
+	if added := m.state.RecordDepartures(p.Departures, p.Addr); forward && len(added) > 0 {
+		m.sendDepartures(added, false)
 	}
 }
 
-// hearZone takes in a digest that was on its way for some time.
-func (m *instanceModel) hearZone(p *mesh.Packet, waited time.Duration) {
+// receiveZone handles a digest that was in transit for the given time.
+func (m *instanceModel) receiveZone(p *mesh.Packet, transit time.Duration) {
 	now := time.Now()
 	m.mu.Lock()
-	m.zones[p.Zone] = mesh.Zone{Name: p.Zone, Instances: 1, Log: p.Log, LastDigest: now, LogAvailability: p.LogAvailability.Span(now.Add(-waited))}
+	m.zones[p.Zone] = mesh.Zone{Name: p.Zone, Instances: 1, Log: p.Log, LastDigest: now, LogAvailability: p.LogAvailability.Span(now.Add(-transit))}
 	m.mu.Unlock()
-	m.takeDepartures(p, false)
+	m.handleDepartures(p, false)
 	if m.state.Behind(now, p.Document, p.Position()) {
-		m.follower.Ahead()
+		m.follower.NotifyAhead()
 	}
 }
 
-// pullModel carries pulls between instances.
+// pullModel simulates the transport of pulls between instances.
 type pullModel struct{ fleet *fleetModel }
 
 // RoundTrip implements http.RoundTripper.
 func (t *pullModel) RoundTrip(r *http.Request) (*http.Response, error) {
 	time.Sleep(2 * peerLatency)
-	if t.fleet.hangs && t.fleet.chance(hangShare) {
+	if t.fleet.pullsHang && t.fleet.chance(pullHangRate) {
 		<-r.Context().Done()
 		return nil, r.Context().Err()
 	}
@@ -429,26 +435,26 @@
 	return w.Result(), nil
 }
 
-// uses tells whether the instance would send work to a target.
+// uses reports whether the instance may choose the target.
 func (m *instanceModel) uses(id fleet.TargetID) bool { return m.state.Targets().Target(id) != nil }
 
-// inTouch tells whether nothing has disturbed the instance for the given time.
-func (m *instanceModel) inTouch(within time.Duration) bool {
+// undisturbedFor reports whether no fault has affected the instance for the given time.
+func (m *instanceModel) undisturbedFor(within time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return time.Since(m.calmFrom) >= within
+	return time.Since(m.calmSince) >= within
 }
 
-// disturbed notes that something disturbs the instance until a time.
-func (m *instanceModel) disturbed(until time.Time) {
+// markDisturbed records that a fault affects the instance until the given time.
+func (m *instanceModel) markDisturbed(until time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.calmFrom = until
+	m.calmSince = until
 }
 
-// waitsFrom is the offset from which the stream's read waits for changes.
-func (f *Follower) waitsFrom(s Stream) registry.Offset {
+// pendingReadOffset returns the offset from which the stream's pending read waits for changes.
+func (f *Follower) pendingReadOffset(s Stream) registry.Offset {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.hanging[s].from.Offset
+	return f.pendingReads[s].from.Offset
 }
--- a/statesync/peer.go
+++ b/statesync/peer.go
@@ -17,18 +17,18 @@
 	"github.com/clementinereel/clementinereel/registry"
 )
 
-// Path is where instances serve their state to peers.
+// Path is the HTTP path at which instances serve their state to peers.
 const Path = "/peer/state"
 
 const (
-	// pullTimeout bounds a pull from a peer.
+	// pullTimeout limits a pull from a peer.
 	pullTimeout = time.Second
-	// maxWhole bounds a peer's state in bytes: 22,000 routes and 13,000 targets
-	// take about 4 MB.
-	maxWhole = 32 << 20
+	// maxSnapshotBytes limits the size of a peer's state: 22,000 routes and 13,000 targets take
+	// about 4 MB.
+	maxSnapshotBytes = 32 << 20
 )
 
-// ServeHTTP answers a peer's pull with what is newer than it has.
+// ServeHTTP answers a peer's pull with the state that is newer than the peer's.
 func (s *State) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	version, err1 := strconv.ParseInt(r.FormValue("document"), 10, 64)
 	offset, err2 := strconv.ParseInt(r.FormValue("registry"), 10, 64)
@@ -37,17 +37,17 @@
 		http.Error(w, "document, registry and epoch are numbers", http.StatusBadRequest)
 		return
 	}
-	body, err := cbor.Marshal(s.whole(request{
+	body, err := cbor.Marshal(s.peerSnapshot(pullRequest{
 		document: document.Version(version),
 		registry: registry.Position{Epoch: registry.Epoch(epoch), Offset: registry.Offset(offset)},
-		all:      r.FormValue("all") != "",
+		full:     r.FormValue("all") != "",
 	}))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/cbor")
-	_, _ = w.Write(body) // a peer that has gone pulls again
+	_, _ = w.Write(body) // the peer retries a pull that failed
 }
 
 // puller fetches the state of peers.
@@ -63,14 +63,14 @@
 	}}
 }
 
-func (p *puller) pull(ctx context.Context, addr string, r request) (Whole, error) {
-	var w Whole
+func (p *puller) pull(ctx context.Context, addr string, r pullRequest) (PeerSnapshot, error) {
+	var w PeerSnapshot
 	q := url.Values{
 		"document": {strconv.FormatInt(int64(r.document), 10)},
 		"registry": {strconv.FormatInt(int64(r.registry.Offset), 10)},
 		"epoch":    {strconv.FormatInt(int64(r.registry.Epoch), 10)},
 	}
-	if r.all {
+	if r.full {
 		q.Set("all", "1")
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+Path+"?"+q.Encode(), nil)
@@ -82,18 +82,18 @@
 		return w, errors.WithStack(err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxWhole))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxSnapshotBytes))
 	if err != nil {
 		return w, errors.WithStack(err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return w, errors.Errorf("peer answered %d: %.80s", resp.StatusCode, body)
+		return w, errors.Errorf("peer responded with status %d: %.80s", resp.StatusCode, body)
 	}
-	return decodeWhole(body)
+	return decodePeerSnapshot(body)
 }
 
-func decodeWhole(body []byte) (Whole, error) {
-	var w Whole
+func decodePeerSnapshot(body []byte) (PeerSnapshot, error) {
+	var w PeerSnapshot
 	if err := cbor.Unmarshal(body, &w); err != nil {
 		return w, errors.WithStack(err)
 	}
--- a/statesync/pull.go
+++ b/statesync/pull.go
@@ -15,48 +15,48 @@
 const (
 	// pullJitter spreads the pulls of all instances after a change.
 	pullJitter = 30 * time.Millisecond
-	// pullAgain is the pause after a pull that failed. The path to one peer may be cut,
-	// and in a large fleet the next news that tells of a newer state may be a second away.
-	pullAgain = 50 * time.Millisecond
-	// pullPatience is the time after which another peer is asked beside those that do not
-	// answer, pullMost peers in all: their paths may be cut in silence, and a change must be in
-	// force within seconds.
-	pullPatience = 100 * time.Millisecond
-	pullMost     = 4
+	// pullRetryDelay is the pause after a failed pull. The path to one peer may be broken, and in
+	// a large fleet the next packet that announces newer state may be a second away.
+	pullRetryDelay = 50 * time.Millisecond
+	// pullHedgeDelay is the time after which one more peer is queried in parallel with those that
+	// have not responded, up to maxPullPeers in total: their paths may drop packets silently, and
+	// a change must take effect within seconds.
+	pullHedgeDelay = 100 * time.Millisecond
+	maxPullPeers   = 4
 )
 
-// pull fetches the state of peers that are ahead.
-func (f *Follower) pull(ctx context.Context) {
+// pullLoop fetches the state of peers that are ahead until ctx is done.
+func (f *Follower) pullLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.ahead:
+		case <-f.peerAhead:
 		}
 		wait.For(ctx, rand.N(pullJitter))
-		for !f.pullOnce(ctx) && wait.For(ctx, pullAgain) {
-			// Until a peer has answered, or none is ahead.
+		for !f.pullOnce(ctx) && wait.For(ctx, pullRetryDelay) {
+			// Retry until a peer has responded or none is ahead.
 		}
 	}
 }
 
-// pullOnce fetches the state of the peer that is furthest ahead, and of others if it does not
-// answer soon. It tells false if none did, and true if no peer is ahead.
+// pullOnce fetches the state of the most advanced peer, and of others if it does not respond soon.
+// It returns false if none responded, and true if one did or no peer is ahead.
 func (f *Follower) pullOnce(ctx context.Context) bool {
-	version, position := f.o.State.Versions()
-	r := request{document: version, registry: position, all: f.o.State.needsPeerState()}
+	version, position := f.opts.State.Versions()
+	r := pullRequest{document: version, registry: position, full: f.opts.State.needsPeerState()}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	done := make(chan bool, pullMost)
-	var asked []string
+	done := make(chan bool, maxPullPeers)
+	var queried []string
 	for running := 0; ; {
-		if best := f.best(f.o.Peers(), asked); len(asked) < pullMost && best != nil && r.wants(best) {
-			asked = append(asked, best.Addr)
+		if best := f.mostAdvancedPeer(f.opts.Peers(), queried); len(queried) < maxPullPeers && best != nil && r.mayBeServedBy(best) {
+			queried = append(queried, best.Addr)
 			running++
 			go func() { done <- f.pullFrom(ctx, best, r) }()
 		}
 		if running == 0 {
-			return len(asked) == 0
+			return len(queried) == 0
 		}
 		select {
 		case ok := <-done:
@@ -64,47 +64,47 @@
 			if ok {
 				return true
 			}
-		case <-time.After(pullPatience):
+		case <-time.After(pullHedgeDelay):
 		}
 	}
 }
 
-// pullFrom fetches the state of a peer, and tells whether that succeeded.
-func (f *Follower) pullFrom(ctx context.Context, m *mesh.Member, r request) bool {
+// pullFrom fetches and applies the state of a peer, and reports whether that succeeded.
+func (f *Follower) pullFrom(ctx context.Context, m *mesh.Member, r pullRequest) bool {
 	began := time.Now()
 	w, err := f.puller.pull(ctx, m.Addr, r)
 	if ctx.Err() != nil {
-		return false // another peer has answered, or the instance stops
+		return false // another peer has responded, or the instance is stopping
 	}
 	if err != nil {
 		eventlog.Error(eventlog.PullFailed, err, "peer", m.Addr, "document", r.document, "theirs", m.Document, "epoch", r.registry.Epoch, "registry", r.registry.Offset,
-			"their_epoch", m.Registry.Epoch, "their_registry", m.Registry.Offset, "behind_ms", f.o.State.lag().Milliseconds(), "took_ms", time.Since(began).Milliseconds())
+			"their_epoch", m.Registry.Epoch, "their_registry", m.Registry.Offset, "behind_ms", f.opts.State.lag().Milliseconds(), "took_ms", time.Since(began).Milliseconds())
 		return false
 	}
-	f.o.State.applyWhole(w, m.Addr, r.all)
-	f.overtaken()
+	f.opts.State.applyPeerSnapshot(w, m.Addr, r.full)
+	f.cancelSupersededReads()
 	return true
 }
 
-// wants tells whether a peer may have what is asked for.
-func (r *request) wants(m *mesh.Member) bool {
-	if r.all && m.Registry != (registry.Position{}) {
+// mayBeServedBy reports whether a peer may have newer state than the requester.
+func (r *pullRequest) mayBeServedBy(m *mesh.Member) bool {
+	if r.full && m.Registry != (registry.Position{}) {
 		return true
 	}
 	return m.Document > r.document || m.Registry.After(r.registry)
 }
 
-// best is the peer that is furthest ahead: one of the own zone before others, and
-// any of the equals. Those that were asked already are left out.
-func (f *Follower) best(v mesh.View, asked []string) *mesh.Member {
+// mostAdvancedPeer returns the peer with the newest state, or nil. Among equals, peers of the own
+// zone come first, then the choice is random. Peers in queried are skipped.
+func (f *Follower) mostAdvancedPeer(v mesh.View, queried []string) *mesh.Member {
 	var best *mesh.Member
 	ties := 1
 	for i := range v.Members {
 		m := &v.Members[i]
-		if !m.Fresh(v.At) || slices.Contains(asked, m.Addr) {
+		if !m.Fresh(v.At) || slices.Contains(queried, m.Addr) {
 			continue
 		}
-		switch c := f.compare(m, best); {
+		switch c := f.comparePeers(m, best); {
 		case c > 0:
 			best, ties = m, 1
 		case c == 0:
@@ -117,7 +117,9 @@
 	return best
 }
 
-func (f *Follower) compare(a, b *mesh.Member) int {
+// comparePeers returns a positive number if a is the better peer to pull from, a negative one if b
+// is, and 0 if they are equal. b may be nil.
+func (f *Follower) comparePeers(a, b *mesh.Member) int {
 	if b == nil {
 		return 1
 	}
@@ -126,8 +128,8 @@
 		return sign(a.Document > b.Document)
 	case a.Registry != b.Registry:
 		return a.Registry.Compare(b.Registry)
-	case (a.Zone == f.o.Zone) != (b.Zone == f.o.Zone):
-		return sign(a.Zone == f.o.Zone)
+	case (a.Zone == f.opts.Zone) != (b.Zone == f.opts.Zone):
+		return sign(a.Zone == f.opts.Zone)
 	}
 	return 0
 }
--- a/statesync/refused.go
+++ b/statesync/refused.go
@@ -9,48 +9,49 @@
 	"github.com/clementinereel/clementinereel/registry"
 )
 
-// Cause says what is wrong with a record that names nothing to use.
+// Cause classifies why a record cannot be used.
 type Cause string
 
-// Causes, as metrics name them.
+// Values of Cause, as used in metrics.
 const (
-	// Unreadable records are cut short or not in the expected form.
+	// Unreadable marks records that are truncated or not in the expected format.
 	Unreadable Cause = "unreadable"
-	// FieldMissing and FieldWrong have a field that is not there, or is of another type or
-	// out of range.
+	// FieldMissing and FieldWrong mark records with a required field that is absent, or that has
+	// the wrong type or is out of range.
 	FieldMissing Cause = "field-missing"
 	FieldWrong   Cause = "field-wrong"
 )
 
-// RefusedRecord is the error of a record that names nothing to use.
-type RefusedRecord struct {
+// RecordError is the error of a record that cannot be used.
+type RecordError struct {
 	Cause Cause
 	err   error
 }
 
-// Refuse returns the error of a record that names nothing to use.
-func Refuse(c Cause, err error) error { return &RefusedRecord{Cause: c, err: err} }
+// NewRecordError returns the error of a record that cannot be used.
+func NewRecordError(c Cause, err error) error { return &RecordError{Cause: c, err: err} }
 
 // Error implements error.
-func (r *RefusedRecord) Error() string { return r.err.Error() }
+func (r *RecordError) Error() string { return r.err.Error() }
 
-// Unwrap returns what is wrong.
-func (r *RefusedRecord) Unwrap() error { return r.err }
+// Unwrap returns the underlying error.
+func (r *RecordError) Unwrap() error { return r.err }
 
-// causeOf returns the cause that an error names.
+// causeOf returns the cause of a RecordError in the chain of err, or Unreadable if there is none.
 func causeOf(err error) Cause {
-	var r *RefusedRecord
+	var r *RecordError
 	if errors.As(err, &r) {
 		return r.Cause
 	}
 	return Unreadable
 }
 
-// refusedMemory bounds the keys and causes that are remembered as logged. Beyond it they
-// are logged again.
-const refusedMemory = 1024
+// maxLoggedRefusals limits the refusals that are remembered as logged. When it is reached, all are
+// forgotten and may be logged again.
+const maxLoggedRefusals = 1024
 
-// refusals counts refused records by cause, and logs each key and cause once.
+// refusals counts refused records by cause, and logs each combination of stream, key and cause
+// once.
 type refusals struct {
 	mu     sync.Mutex
 	counts map[Cause]int64
@@ -63,8 +64,8 @@
 	cause  Cause
 }
 
-// note counts a record that was refused. Event is the line that tells it.
-func (rs *refusals) note(event eventlog.Event, s Stream, key string, o registry.Offset, err error) {
+// record counts a refused record, and logs it as event the first time.
+func (rs *refusals) record(event eventlog.Event, s Stream, key string, o registry.Offset, err error) {
 	r := refusal{s, key, causeOf(err)}
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
@@ -75,15 +76,15 @@
 	if rs.logged[r] {
 		return
 	}
-	if rs.logged == nil || len(rs.logged) >= refusedMemory {
+	if rs.logged == nil || len(rs.logged) >= maxLoggedRefusals {
 		rs.logged = make(map[refusal]bool)
 	}
 	rs.logged[r] = true
 	eventlog.Error(event, err, "stream", s.String(), "key", key, "cause", r.cause, "offset", o)
 }
 
-// Refused is how many records were refused so far, by cause.
-func (s *State) Refused() map[Cause]int64 {
+// RefusedRecords returns the number of records refused so far, by cause.
+func (s *State) RefusedRecords() map[Cause]int64 {
 	s.refusals.mu.Lock()
 	defer s.refusals.mu.Unlock()
 	counts := make(map[Cause]int64, len(s.refusals.counts))
--- a/statesync/restore_test.go
+++ b/statesync/restore_test.go
@@ -91,7 +91,7 @@
 func TestRestoreEndsReadsOfEarlierEpoch(t *testing.T) {
 	store := &restorableStore{epoch: 1, end: 500}
 	s := NewState(0, nil)
-	f := NewFollower(Options{State: s, Store: store, Self: "10.0.0.1:1", Zone: "a", Peers: func() mesh.View { return view(0) }, Know: func([]string) {}})
+	f := NewFollower(Options{State: s, Store: store, Self: "10.0.0.1:1", Zone: "a", Peers: func() mesh.View { return view(0) }, OnAddresses: func([]string) {}})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go f.Run(ctx)
@@ -101,9 +101,9 @@
 	store.mu.Unlock()
 	time.Sleep(2 * firstWait) // until both reads hang
 	store.restore(2, 480)
-	s.applyWhole(Whole{Registry: 480, Epoch: 2, Entries: []registry.Entry{*record(0, "a").Entry}}, "peer", false)
+	s.applyPeerSnapshot(PeerSnapshot{Registry: 480, Epoch: 2, Entries: []registry.Entry{*record(0, "a").Entry}}, "peer", false)
 	waitForEpoch(t, s, 2, time.Second)
-	assert.Equal(t, f.Log(), mesh.LogAvailable, "a read ended by a restore does not mean that the store is unavailable")
+	assert.Equal(t, f.LogState(), mesh.LogAvailable, "a read ended by a restore does not mean that the store is unavailable")
 }
 
 // TestBatchesOfOtherEpochsAreIgnored covers late responses of an earlier epoch, and changes of a
@@ -115,7 +115,7 @@
 		s.applyBatch(Targets, Batch{Next: 481, Epoch: epoch, Records: []Record{record(480, "b")}}, "store")
 	}
 	s.applySnapshot(Targets, Batch{Next: 900, Epoch: 1, Records: []Record{record(0, "c")}}, "store")
-	s.applyWhole(Whole{Registry: 900, Epoch: 1, Entries: []registry.Entry{*record(0, "d").Entry}}, "peer", false)
+	s.applyPeerSnapshot(PeerSnapshot{Registry: 900, Epoch: 1, Entries: []registry.Entry{*record(0, "d").Entry}}, "peer", false)
 	assert.Equal(t, s.next(Targets), registry.Position{Epoch: 2, Offset: 480})
 	assert.Equal(t, s.Targets().Len(), 1)
 	s.applyBatch(Targets, Batch{Next: 481, Epoch: 2, Records: []Record{record(480, "b")}}, "store")
@@ -135,9 +135,9 @@
 	s := NewState(0, nil)
 	s.applySnapshot(Targets, Batch{Next: 480, Epoch: 2, Records: []Record{record(0, "a")}}, "store")
 	f := NewFollower(Options{State: s, Store: store, Self: "10.0.0.1:1", Zone: "a", Peers: func() mesh.View { return view(0) }})
-	_, err := f.step(t.Context(), Targets)
-	assert.ErrorIs(t, err, errEarlierEpoch)
-	assert.ErrorIs(t, f.snapshot(t.Context(), Targets), errEarlierEpoch)
+	_, err := f.readOnce(t.Context(), Targets)
+	assert.ErrorIs(t, err, errStaleEpoch)
+	assert.ErrorIs(t, f.readSnapshot(t.Context(), Targets), errStaleEpoch)
 }
 
 // TestPeersWithoutEpochAreNoSource covers a release: instances of the previous version send no
@@ -149,14 +149,14 @@
 	f := NewFollower(Options{State: s, Store: new(restorableStore), Self: "10.0.0.1:1", Zone: "a", Peers: func() mesh.View {
 		return view(1, before, mesh.Member{Addr: lowerRankedAddr(1), Zone: "a", Log: mesh.LogAvailable})
 	}})
-	assert.Assert(t, !f.reads(), "the store is not known to have an epoch")
+	assert.Assert(t, !f.updateRole(), "the store is not known to have an epoch")
 	assert.Assert(t, s.Behind(time.Now(), 0, before.Registry))
 	s.applySnapshot(Targets, Batch{Next: 480, Epoch: 1, Records: []Record{record(0, "a")}}, "store")
-	f.unserved = time.Now().Add(-time.Minute)
-	assert.Assert(t, f.reads(), "no instance of the zone reads the store in its epoch")
-	s.applyWhole(Whole{Registry: 900, Entries: []registry.Entry{*record(0, "b").Entry}}, before.Addr, false)
+	f.unservedSince = time.Now().Add(-time.Minute)
+	assert.Assert(t, f.updateRole(), "no instance of the zone reads the store in its epoch")
+	s.applyPeerSnapshot(PeerSnapshot{Registry: 900, Entries: []registry.Entry{*record(0, "b").Entry}}, before.Addr, false)
 	assert.Equal(t, s.Targets().Len(), 1)
-	s.applyWhole(Whole{Registry: 900, Changes: []registry.Change{{Offset: 480, ID: "b", Entry: record(0, "b").Entry}}}, before.Addr, true)
+	s.applyPeerSnapshot(PeerSnapshot{Registry: 900, Changes: []registry.Change{{Offset: 480, ID: "b", Entry: record(0, "b").Entry}}}, before.Addr, true)
 	assert.Equal(t, s.next(Targets), registry.Position{Epoch: 1, Offset: 480}, "offsets without an epoch must be ignored")
 }
 
@@ -166,7 +166,7 @@
 	peer, self := NewState(0, nil), NewState(0, nil)
 	for _, s := range []*State{peer, self} {
 		s.applySnapshot(Targets, Batch{Next: 500, Epoch: 1, Records: []Record{record(0, "a"), record(1, "b")}}, "store")
-		s.applyWhole(Whole{}, "peer", true)
+		s.applyPeerSnapshot(PeerSnapshot{}, "peer", true)
 	}
 	left := registry.Entry{ID: "b", Service: "s", Sequence: 2, Leaving: true}
 	peer.applyBatch(Targets, Batch{Next: 501, Epoch: 1, Records: []Record{{Offset: 500, ID: "b", Entry: &left}}}, "store")
@@ -205,19 +205,19 @@
 			s := NewState(0, nil)
 			s.applySnapshot(Targets, Batch{Next: 480, Epoch: 2, Records: []Record{record(0, "a")}}, "store")
 			f := NewFollower(Options{State: s, Self: m.Addr, Zone: "a", Peers: func() mesh.View { return viewOf(i) }})
-			f.unserved = now.Add(-time.Hour)
-			if f.reads() {
+			f.unservedSince = now.Add(-time.Hour)
+			if f.updateRole() {
 				reading++
 			}
-			if f.o.announces(viewOf(i)) {
+			if f.opts.isAnnouncer(viewOf(i)) {
 				announcing++
 			}
 		}
 		pages := size.targets/pageKeys + 1
 		calls := size.zones * (reading*(refusedReads+pages+1) + announcing)
 		assert.Assert(t, calls <= size.rate, "%d instances a zone: %d calls, %d a second are taken", size.zone, calls, size.rate)
-		assert.Assert(t, reading <= readersPerZone+takeOverMost)
-		assert.Equal(t, announcing, announcedPerZone)
+		assert.Assert(t, reading <= readersPerZone+maxTakeoverReaders)
+		assert.Equal(t, announcing, announcersPerZone)
 	}
 }
 
@@ -249,7 +249,7 @@
 			if i == self {
 				continue
 			}
-			m := mesh.Member{Addr: other.addr, Zone: "a", Log: other.follower.Log(), LastReceived: v.At}
+			m := mesh.Member{Addr: other.addr, Zone: "a", Log: other.follower.LogState(), LastReceived: v.At}
 			m.Document, m.Registry = other.state.Versions()
 			v.Members = append(v.Members, m)
 		}
@@ -266,7 +266,7 @@
 		if refused(i) {
 			own = refusingStore{store}
 		}
-		x.follower = NewFollower(Options{State: x.state, Store: own, Self: x.addr, Zone: "a", Peers: func() mesh.View { return see(i) }, Know: func([]string) {}})
+		x.follower = NewFollower(Options{State: x.state, Store: own, Self: x.addr, Zone: "a", Peers: func() mesh.View { return see(i) }, OnAddresses: func([]string) {}})
 	}
 	for i, x := range zone {
 		go x.follower.Run(t.Context())
@@ -280,7 +280,7 @@
 	for ctx.Err() == nil {
 		for _, m := range see().Members {
 			if x.state.Behind(time.Now(), m.Document, m.Registry) {
-				x.follower.Ahead()
+				x.follower.NotifyAhead()
 			}
 		}
 		time.Sleep(50 * time.Millisecond)
--- a/statesync/state.go
+++ b/statesync/state.go
@@ -212,7 +212,7 @@
 	var entries []registry.Entry
 	for _, r := range records {
 		if r.Err != nil {
-			s.refusals.note(eventlog.EntryRefused, Targets, string(r.ID), r.Offset, r.Err)
+			s.refusals.record(eventlog.EntryRefused, Targets, string(r.ID), r.Offset, r.Err)
 			continue
 		}
 		if r.Entry != nil {
@@ -237,7 +237,7 @@
 			changed = s.applyDocumentRecord(r, from) || changed
 			continue
 		}
-		changed = s.applyTargetRecord(r, b.Age) || changed
+		changed = s.applyTargetRecord(r, b.MaxAge) || changed
 	}
 	if stream == Documents {
 		s.nextDocument = registry.Later(s.nextDocument, b.after(s.nextDocument.Epoch))
@@ -257,7 +257,7 @@
 
 func (s *State) applyDocumentRecord(r Record, from string) bool {
 	if r.Err != nil {
-		s.refusals.note(eventlog.DocumentRefused, Documents, string(r.ID), r.Offset, r.Err)
+		s.refusals.record(eventlog.DocumentRefused, Documents, string(r.ID), r.Offset, r.Err)
 		return false
 	}
 	return r.Document != nil && s.applyDocument(r.Document, from)
@@ -268,7 +268,7 @@
 // a snapshot arrive at the same targets. age is the maximum age of the record.
 func (s *State) applyTargetRecord(r Record, age time.Duration) bool {
 	if r.Err != nil {
-		s.refusals.note(eventlog.EntryRefused, Targets, string(r.ID), r.Offset, r.Err)
+		s.refusals.record(eventlog.EntryRefused, Targets, string(r.ID), r.Offset, r.Err)
 	}
 	now := s.clock()
 	return s.registry.ApplySince(now, registry.Change{Offset: r.Offset, ID: r.ID, Entry: r.Entry}, now.Add(-age))
--- a/statesync/state_test.go
+++ b/statesync/state_test.go
@@ -40,7 +40,7 @@
 	s := NewState(0, func() { changes++ })
 	s.applyBatch(Documents, Batch{Next: 5, Records: []Record{{Offset: 4, Document: documentOf(7)}}}, "store")
 	s.applySnapshot(Documents, Batch{Next: 3, Records: []Record{{Document: documentOf(6)}}}, "lagging store")
-	s.applyWhole(Whole{Document: documentOf(5), NextDocument: 2}, "peer", false)
+	s.applyPeerSnapshot(PeerSnapshot{Document: documentOf(5), NextDocument: 2}, "peer", false)
 	v, _ := s.Versions()
 	assert.Equal(t, v, document.Version(7))
 	assert.Equal(t, s.next(Documents), registry.Position{Offset: 5})
@@ -48,9 +48,9 @@
 
 	s.applyBatch(Targets, Batch{Records: []Record{record(0, "a"), record(1, "b")}}, "store")
 	s.applySnapshot(Targets, Batch{Next: 1, Records: []Record{record(0, "a")}}, "lagging store")
-	s.applyWhole(Whole{Registry: 1}, "peer", false)
+	s.applyPeerSnapshot(PeerSnapshot{Registry: 1}, "peer", false)
 	assert.Equal(t, s.Targets().Len(), 2)
-	s.applyWhole(Whole{Registry: 9, Entries: []registry.Entry{{ID: "c", Service: "s"}, {ID: "a", Service: "s", Sequence: 2}, {ID: "b", Service: "s", Sequence: 2}}}, "peer", false)
+	s.applyPeerSnapshot(PeerSnapshot{Registry: 9, Entries: []registry.Entry{{ID: "c", Service: "s"}, {ID: "a", Service: "s", Sequence: 2}, {ID: "b", Service: "s", Sequence: 2}}}, "peer", false)
 	assert.Equal(t, s.Targets().Len(), 3)
 	assert.Equal(t, s.next(Targets), registry.Position{Offset: 9})
 }
@@ -77,13 +77,13 @@
 	addr := strings.TrimPrefix(srv.URL, "http://")
 
 	fresh := NewState(0, nil)
-	w, err := newPuller().pull(t.Context(), addr, request{})
+	w, err := newPuller().pull(t.Context(), addr, pullRequest{})
 	assert.NilError(t, err)
-	fresh.applyWhole(w, addr, false)
+	fresh.applyPeerSnapshot(w, addr, false)
 	v, o := fresh.Versions()
 	assert.Equal(t, v, document.Version(7))
 	assert.Equal(t, o, registry.Position{Offset: 1})
-	w, err = newPuller().pull(t.Context(), addr, request{document: v, registry: o})
+	w, err = newPuller().pull(t.Context(), addr, pullRequest{document: v, registry: o})
 	assert.NilError(t, err)
 	assert.Assert(t, w.Document == nil && len(w.Entries) == 0, "a peer sends nothing that the requester already has")
 }
@@ -124,15 +124,15 @@
 		announcing := 0
 		for i := range members {
 			o := Options{Self: members[i].Addr, Zone: "a"}
-			if o.announces(viewOf(i)) {
+			if o.isAnnouncer(viewOf(i)) {
 				announcing++
 			}
 		}
-		assert.Equal(t, announcing, announcedPerZone)
+		assert.Equal(t, announcing, announcersPerZone)
 	}
 
 	store, state := new(announceCounter), NewState(0, nil)
-	f := NewFollower(Options{State: state, Self: "self", Zone: "a", Store: store, Know: func([]string) {}, Peers: func() mesh.View { return mesh.View{At: time.Now(), Zone: "a"} }})
+	f := NewFollower(Options{State: state, Self: "self", Zone: "a", Store: store, OnAddresses: func([]string) {}, Peers: func() mesh.View { return mesh.View{At: time.Now(), Zone: "a"} }})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go f.introduce(ctx)
@@ -176,8 +176,8 @@
 	}})
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	go f.pull(ctx)
-	f.Ahead()
+	go f.pullLoop(ctx)
+	f.NotifyAhead()
 	for version := document.Version(0); version != 7; version, _ = behind.Versions() {
 		assert.NilError(t, ctx.Err())
 		time.Sleep(5 * time.Millisecond)
@@ -210,16 +210,16 @@
 		for i, self := range members(0) {
 			o := Options{Self: self.Addr, Zone: "a"}
 			rest := append(members(0)[:i:i], members(0)[i+1:]...)
-			if o.ranked(view(zones, rest...)) {
+			if o.isRankedReader(view(zones, rest...)) {
 				n++
 			}
 		}
 		return n
 	}
-	assert.Equal(t, readers(0), readersAlone)
+	assert.Equal(t, readers(0), singleZoneReaders)
 	assert.Equal(t, readers(1), readersPerZone)
-	assert.Assert(t, served(view(0, members(mesh.LogAvailable)...), anyMember))
-	assert.Assert(t, !served(view(0, members(mesh.LogUnavailable)...), anyMember))
+	assert.Assert(t, zoneServed(view(0, members(mesh.LogAvailable)...), anyMember))
+	assert.Assert(t, !zoneServed(view(0, members(mesh.LogUnavailable)...), anyMember))
 }
 
 func anyMember(*mesh.Member) bool { return true }
@@ -243,22 +243,22 @@
 	}
 	reading := func() (n int) {
 		for _, f := range followers {
-			if f.reads() {
+			if f.updateRole() {
 				n++
 			}
 		}
 		return n
 	}
 	assert.Equal(t, reading(), 3, "the two readers and the next instance")
-	v.At = v.At.Add(2*takeOverStep + time.Millisecond)
+	v.At = v.At.Add(2*takeoverDelayStep + time.Millisecond)
 	assert.Equal(t, reading(), 5, "two more, as no instance reports a response")
-	v.At = v.At.Add(12 * takeOverStep)
+	v.At = v.At.Add(12 * takeoverDelayStep)
 	for i := range v.Members {
 		v.Members[i].LastReceived = v.At
 	}
 	for i, f := range followers {
 		rest := slices.Delete(slices.Clone(v.Members), i, i+1)
-		f.o.Peers = func() mesh.View { return mesh.View{At: v.At, Zone: "a", Members: rest, Zones: v.Zones} }
+		f.opts.Peers = func() mesh.View { return mesh.View{At: v.At, Zone: "a", Members: rest, Zones: v.Zones} }
 	}
 	assert.Equal(t, reading(), len(members), "all instances, if no other gets responses")
 }
@@ -273,12 +273,12 @@
 		reading := 0
 		for i, m := range members {
 			f := NewFollower(Options{Self: m.Addr, Zone: "a", Peers: func() mesh.View { return viewOf(i) }})
-			f.unserved = now.Add(-time.Hour)
-			if f.reads() {
+			f.unservedSince = now.Add(-time.Hour)
+			if f.updateRole() {
 				reading++
 			}
 		}
-		assert.Equal(t, reading, readersPerZone+takeOverMost)
+		assert.Equal(t, reading, readersPerZone+maxTakeoverReaders)
 	}
 }
 
@@ -286,12 +286,12 @@
 // a change: until it has a response to report, others would take over too.
 func TestFirstReadOfNewReaderIsShort(t *testing.T) {
 	f := NewFollower(Options{State: NewState(0, nil), Store: storeStub{}, Peers: func() mesh.View { return view(0) }, Self: "10.0.0.2:1", Zone: "a"})
-	assert.Assert(t, f.reads())
-	assert.Assert(t, f.wait(Targets) <= takeOverStep, f.wait(Targets))
-	f.note(Targets, nil)
-	assert.Equal(t, f.wait(Targets), targetsWait)
-	f.note(Targets, errors.New("away"))
-	assert.Equal(t, f.wait(Targets), probeWait)
+	assert.Assert(t, f.updateRole())
+	assert.Assert(t, f.readWait(Targets) <= takeoverDelayStep, f.readWait(Targets))
+	f.recordResult(Targets, nil)
+	assert.Equal(t, f.readWait(Targets), targetsWait)
+	f.recordResult(Targets, errors.New("away"))
+	assert.Equal(t, f.readWait(Targets), probeWait)
 }
 
 // TestOneOfTwoTakeoverReadersYields checks that exactly one of two takeover readers stops when
@@ -306,8 +306,8 @@
 			away = append(away, mesh.Member{Addr: lowerRankedAddr(n), Zone: "a", Log: mesh.LogUnavailable})
 		}
 		f := NewFollower(Options{Self: self, Zone: "a", Peers: func() mesh.View { return view(1, away...) }})
-		f.role = true
-		if f.reads() {
+		f.isReader = true
+		if f.updateRole() {
 			reading++
 		}
 	}
@@ -332,24 +332,24 @@
 	f := NewFollower(Options{State: NewState(0, nil), Store: storeStub{}, Peers: func() mesh.View {
 		return view(0, mesh.Member{Addr: "10.0.0.1:1", Zone: "a", Log: mesh.LogAvailable})
 	}, Self: "10.0.0.2:1", Zone: "a"})
-	f.role = true
-	f.note(Documents, nil)
-	f.note(Targets, nil)
-	assert.Equal(t, f.Log(), mesh.LogAvailable)
-	f.role = false
-	f.reads()
-	assert.Equal(t, f.Log(), mesh.LogUnread, "a new reader has no response yet")
-	f.note(Targets, nil)
-	assert.Equal(t, f.Log(), mesh.LogUnread, "only one stream has a response")
-	f.note(Documents, errors.New("away"))
-	assert.Equal(t, f.Log(), mesh.LogUnavailable)
+	f.isReader = true
+	f.recordResult(Documents, nil)
+	f.recordResult(Targets, nil)
+	assert.Equal(t, f.LogState(), mesh.LogAvailable)
+	f.isReader = false
+	f.updateRole()
+	assert.Equal(t, f.LogState(), mesh.LogUnread, "a new reader has no response yet")
+	f.recordResult(Targets, nil)
+	assert.Equal(t, f.LogState(), mesh.LogUnread, "only one stream has a response")
+	f.recordResult(Documents, errors.New("away"))
+	assert.Equal(t, f.LogState(), mesh.LogUnavailable)
 }
 
 func TestSilentReaderIsReplaced(t *testing.T) {
 	v := view(1, mesh.Member{Addr: "10.0.0.1:1", Zone: "a", Log: mesh.LogAvailable})
-	assert.Assert(t, served(v, anyMember))
+	assert.Assert(t, zoneServed(v, anyMember))
 	v.At = v.At.Add(1100 * time.Millisecond)
-	assert.Assert(t, !served(v, anyMember))
+	assert.Assert(t, !zoneServed(v, anyMember))
 }
 
 // TestSilentReadersOfLargeFleetAreReplacedInTime guards against a reader timeout of three
@@ -359,9 +359,9 @@
 func TestSilentReadersOfLargeFleetAreReplacedInTime(t *testing.T) {
 	v := view(1, mesh.Member{Addr: "10.0.0.1:1", Zone: "a", Log: mesh.LogAvailable})
 	v.Interval = 1064 * time.Millisecond
-	assert.Assert(t, served(v, anyMember))
+	assert.Assert(t, zoneServed(v, anyMember))
 	v.At = v.At.Add(1100 * time.Millisecond)
-	assert.Assert(t, !served(v, anyMember))
+	assert.Assert(t, !zoneServed(v, anyMember))
 }
 
 // TestReadersAreNotBridges checks that no instance is both a reader and a bridge, so that one
@@ -381,7 +381,7 @@
 			}
 		}
 		o := Options{Self: self, Zone: "a"}
-		reads := o.ranked(view(1, others...))
+		reads := o.isRankedReader(view(1, others...))
 		assert.Equal(t, reads, i >= len(addrs)-readersPerZone)
 		assert.Assert(t, !reads || i >= bridges)
 	}
@@ -402,9 +402,9 @@
 			defer srv.Close()
 			addr := strings.TrimPrefix(srv.URL, "http://")
 			_, o := fresh.Versions()
-			w, err := newPuller().pull(t.Context(), addr, request{registry: o})
+			w, err := newPuller().pull(t.Context(), addr, pullRequest{registry: o})
 			assert.NilError(t, err)
-			fresh.applyWhole(w, addr, false)
+			fresh.applyPeerSnapshot(w, addr, false)
 		}
 		if lag == 0 {
 			old.applySnapshot(Targets, Batch{Next: 9, Records: []Record{{Offset: 0, ID: "a", Entry: &e}}}, "store")
--- a/statesync/store.go
+++ b/statesync/store.go
@@ -11,56 +11,56 @@
 	"github.com/clementinereel/clementinereel/registry"
 )
 
-// Stream is one of the store's streams of changes.
+// Stream identifies one of the store's change streams.
 type Stream uint8
 
 const (
-	// Documents carries the configuration.
+	// Documents carries the configuration documents.
 	Documents Stream = iota
-	// Targets carries the entries of targets.
+	// Targets carries the target entries.
 	Targets
-	streams
+	streamCount
 )
 
-// String names the stream in logs and metrics.
+// String returns the name of the stream in logs and metrics.
 func (s Stream) String() string { return [...]string{"documents", "targets"}[s] }
 
-// Record is a change of a stream, decoded. One of Document and ID is set, or none if it
-// does not concern the instance. Err is set if the record could not be decoded; it then has
-// neither a Document nor an Entry, and ID where the key could be read.
+// Record is a decoded change of a stream. Either Document or ID is set, or neither if the change
+// does not concern the instance. Err is set if the record could not be decoded; Document and Entry
+// are then nil, and ID is set if the key could be read.
 type Record struct {
 	Offset   registry.Offset
 	Document *document.Document
-	// ID names the target; Entry is nil if its entry was removed.
+	// ID is the target's ID; Entry is nil if its entry was removed.
 	ID    fleet.TargetID
 	Entry *registry.Entry
 	Err   error
 }
 
-// Batch is what the store answered. Next is the offset after the records that
-// it holds, or after the snapshot, in the store's epoch.
+// Batch is a response of the store. Next is the offset after its records, or after the snapshot,
+// in the given epoch.
 type Batch struct {
 	Next    registry.Offset
-	Epoch   registry.Epoch // 0 if the store tells none
+	Epoch   registry.Epoch // 0 if the store reports none
 	Records []Record
-	// Age is how long ago the records may have been written, at most, where the reader knows that
-	// it made them wait.
-	Age time.Duration
+	// MaxAge is the upper bound of the records' age, set if the reader knows that the records were
+	// written while it did not read.
+	MaxAge time.Duration
 }
 
-// ErrExpired tells that the store does not have the records asked for: it no longer has them, or
-// it was restored from an older copy that lacks them.
+// ErrExpired reports that the store does not have the requested records: it no longer keeps them,
+// or it was restored from an older copy that lacks them.
 var ErrExpired = errors.New("records expired")
 
-// Store is what the fleet needs of the platform.
+// Store is the part of the platform's API that the fleet uses.
 type Store interface {
-	// Snapshot returns the newest record of each key. Changes from Next on are
-	// not in it; those just before may or may not be.
+	// Snapshot returns the newest record of each key. It contains no changes from Next on; changes
+	// shortly before Next may be missing too.
 	Snapshot(ctx context.Context, s Stream) (Batch, error)
-	// Read returns changes from an offset on; it waits for the first.
+	// Read returns changes from an offset on. It waits up to the given time for the first one.
 	Read(ctx context.Context, s Stream, from registry.Offset, wait time.Duration) (Batch, error)
-	// Addresses returns the addresses that instances announced.
+	// Addresses returns the addresses announced by instances.
 	Addresses(ctx context.Context) ([]string, error)
-	// Announce adds an instance's address, and returns the epoch that it is in.
+	// Announce adds an instance's address and returns the store's current epoch.
 	Announce(ctx context.Context, addr string) (registry.Epoch, error)
 }
