--- a/explain/cmd.go
+++ b/explain/cmd.go
@@ -21,7 +21,8 @@
 	return nil
 }
 
-// ReadFiles adds the lines of the files.
+// ReadFiles adds the lines of the named files. It stops at the first file that cannot
+// be read.
 func (g *Log) ReadFiles(names []string) error {
 	for _, name := range names {
 		if err := g.readFile(name); err != nil {
--- a/explain/doc.go
+++ b/explain/doc.go
@@ -1,7 +1,8 @@
-// Package explain finds out from instances' log files why a request ended as it did.
+// Package explain determines from instances' log files why a request ended as it did.
 //
-// It gathers the lines of the request, and those that its decisions rest on: the
-// last change of what was believed of each target that was tried, the document in
-// force, and whether the store or peers were lost at the time. It orders them,
-// names the deciding line and the age of its input, and says what is missing.
+// It collects the lines of the request and the lines of the state that its decisions
+// were based on: the last change of the health estimate of each attempted target, the
+// document in force, and whether the store or peers were unavailable at the time. It
+// sorts them by time, marks the deciding line, states the age of the health estimate
+// behind it, and reports which information is missing.
 package explain
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -10,23 +10,23 @@
 	"github.com/clementinereel/clementinereel/eventlog"
 )
 
-// contextFor is how long before the request's last line a change of the instance's
-// surroundings still matters.
-const contextFor = 10 * time.Second
+// contextWindow bounds the age, at the request's last line, of the changes of the
+// instance's environment (store, peers, readiness, stop) that are included.
+const contextWindow = 10 * time.Second
 
-// Explanation is why a request ended as it did.
+// Explanation states why a request ended as it did.
 type Explanation struct {
 	ID string
-	// Lines are those that matter, by time.
+	// Lines are the relevant lines, in order of time.
 	Lines []*Line
 	// Deciding is the line that decided the outcome; nil if there is none.
 	Deciding *Line
 	Cause    string
-	// Missing says what the logs do not tell.
+	// Missing lists the information that the logs do not contain.
 	Missing []string
 }
 
-// Request explains a request.
+// Request returns the explanation of the request with the given ID.
 func (g *Log) Request(id string) *Explanation {
 	x := &Explanation{ID: id}
 	for _, l := range g.Lines {
@@ -36,22 +36,22 @@
 	}
 	if len(x.Lines) == 0 {
 		x.Missing = append(x.Missing, "no line names the request: it was served at the first attempt, never reached these instances, or was lost with a process")
-		if ended := g.endedUnasked(); len(ended) > 0 {
+		if ended := g.unexpectedExits(); len(ended) > 0 {
 			x.Missing = append(x.Missing, "processes that ended without a stop, with all that they had taken: "+strings.Join(ended, ", "))
 		}
-		return x.count(g)
+		return x.addLineCounts(g)
 	}
-	x.sort()
-	x.Deciding, x.Cause = deciding(x.Lines)
+	x.sortLines()
+	x.Deciding, x.Cause = decidingLine(x.Lines)
 	x.addContext(g)
-	x.sort()
-	x.judge()
-	return x.count(g)
+	x.sortLines()
+	x.addHealthEstimate()
+	return x.addLineCounts(g)
 }
 
-// endedUnasked names the instances whose process ended without a signal to stop, with
-// the time of its last line and of the next start.
-func (g *Log) endedUnasked() []string {
+// unexpectedExits returns the instances whose process ended without a signal to stop,
+// each with the times of its last line and of the next start.
+func (g *Log) unexpectedExits() []string {
 	type instance struct{ file, prefix string }
 	last := make(map[instance]*Line)
 	stopping := make(map[instance]bool)
@@ -62,7 +62,7 @@
 		case l.Event == eventlog.Stopping:
 			stopping[in] = true
 		case l.Event == eventlog.Started && last[in] != nil && !stopping[in]:
-			ended = append(ended, fmt.Sprintf("%s after %s, started again at %s", l.Get("instance"), clock(last[in].At), clock(l.At)))
+			ended = append(ended, fmt.Sprintf("%s after %s, started again at %s", l.Get("instance"), formatTimeOfDay(last[in].At), formatTimeOfDay(l.At)))
 		}
 		if l.Event == eventlog.Started {
 			stopping[in] = false
@@ -72,16 +72,17 @@
 	return ended
 }
 
-// clock prints a time of day.
-func clock(at time.Duration) string {
+// formatTimeOfDay formats a time of day with milliseconds.
+func formatTimeOfDay(at time.Duration) string {
 	return time.Time{}.Add(at).Format("15:04:05.000")
 }
 
-func (x *Explanation) sort() {
+func (x *Explanation) sortLines() {
 	sort.SliceStable(x.Lines, func(a, b int) bool { return x.Lines[a].At < x.Lines[b].At })
 }
 
-func (x *Explanation) count(g *Log) *Explanation {
+// addLineCounts adds the numbers of dropped and skipped lines to Missing.
+func (x *Explanation) addLineCounts(g *Log) *Explanation {
 	if g.Dropped > 0 {
 		x.Missing = append(x.Missing, fmt.Sprintf("instances left out %d lines by their rate", g.Dropped))
 	}
@@ -91,8 +92,8 @@
 	return x
 }
 
-// deciding returns the line that decided the outcome, and the cause in words.
-func deciding(lines []*Line) (*Line, string) {
+// decidingLine returns the line that decided the outcome, and the cause in words.
+func decidingLine(lines []*Line) (*Line, string) {
 	var failed, denied, final *Line
 	for _, l := range lines {
 		switch l.Event {
@@ -147,8 +148,9 @@
 	return l.Get("why")
 }
 
-// addContext adds the last changes of what the instance believed of the targets that
-// were tried, and of its surroundings.
+// addContext adds, from the instance that wrote the request's last line, the last changes
+// of the attempted targets' state before that line, and of the instance's environment
+// before the request's first line.
 func (x *Explanation) addContext(g *Log) {
 	last := x.Lines[len(x.Lines)-1]
 	begin := x.Lines[0].At
@@ -168,13 +170,14 @@
 		}
 	}
 	for key, l := range newest {
-		if strings.HasPrefix(key, "target") || last.At-l.At < contextFor || key == "document" {
+		if strings.HasPrefix(key, "target") || last.At-l.At < contextWindow || key == "document" {
 			x.Lines = append(x.Lines, l)
 		}
 	}
 }
 
-// contextKey names what the line changes, empty if that does not matter.
+// contextKey returns a key for the state that the line changes, or an empty string if
+// that state is irrelevant to a request with the given targets.
 func contextKey(l *Line, targets map[string]bool) string {
 	switch l.Event {
 	case eventlog.TargetSuspected, eventlog.TargetCleared, eventlog.TargetAdded, eventlog.TargetRemoved, eventlog.PathAvoided:
@@ -191,29 +194,30 @@
 	return ""
 }
 
-// judge adds the age of what the choice of the deciding target rested on.
-func (x *Explanation) judge() {
+// addHealthEstimate adds to the cause the age and origin of the health estimate that
+// the choice of the deciding line's target was based on.
+func (x *Explanation) addHealthEstimate() {
 	if x.Deciding == nil || x.Deciding.Get("target") == "" {
 		return
 	}
 	target := x.Deciding.Get("target")
 	took, _ := time.ParseDuration(x.Deciding.Get("took_ms") + x.Deciding.Get("age_ms") + "ms") // one of the two; 0 if neither
 	chosen := x.Deciding.At - took
-	var belief *Line
+	var estimate *Line
 	for _, l := range x.Lines {
 		if l.Get("target") == target && l.At < chosen && (l.Event == eventlog.TargetSuspected || l.Event == eventlog.TargetCleared) {
-			belief = l
+			estimate = l
 		}
 	}
-	if belief == nil {
+	if estimate == nil {
 		x.Missing = append(x.Missing, "nothing was known against target "+target+" before")
 		return
 	}
-	x.Cause += fmt.Sprintf(" (%s %d ms before it was chosen, by %s; expected to fail with %s)", belief.Event,
-		(chosen - belief.At).Milliseconds(), belief.Get("by"), x.Deciding.Get("fails"))
+	x.Cause += fmt.Sprintf(" (%s %d ms before it was chosen, by %s; expected to fail with %s)", estimate.Event,
+		(chosen - estimate.At).Milliseconds(), estimate.Get("by"), x.Deciding.Get("fails"))
 }
 
-// Print writes the explanation for a reader.
+// Print writes the explanation as text, with an asterisk before the deciding line.
 func (x *Explanation) Print(w io.Writer) {
 	fmt.Fprintf(w, "request %s\n", x.ID)
 	if x.Cause != "" {
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -22,14 +22,14 @@
 I0722 04:20:09.000100 1 handler.go:1] "request-failed" request="r4" service="s" status=504 by="self" why="no answer in time"
 `
 
-func read(t *testing.T) *Log {
+func readSample(t *testing.T) *Log {
 	var g Log
 	assert.NilError(t, g.Read("f", strings.NewReader(sample)))
 	return &g
 }
 
 func TestCauses(t *testing.T) {
-	g := read(t)
+	g := readSample(t)
 	assert.Equal(t, g.Skipped, 1)
 	for id, want := range map[string]string{
 		"r1": "target t1: it answered 500; no further attempt: must not run twice (target-suspected 997 ms before it was chosen, by 10.0.0.1:7; expected to fail with 0.61)",
@@ -41,8 +41,8 @@
 	}
 }
 
-func TestLinesAreOrderedAndWhatIsMissingIsSaid(t *testing.T) {
-	x := read(t).Request("r1")
+func TestRequestLinesAndMissing(t *testing.T) {
+	x := readSample(t).Request("r1")
 	var events []string
 	for _, l := range x.Lines {
 		events = append(events, string(l.Event))
@@ -50,16 +50,16 @@
 	assert.DeepEqual(t, events, []string{"document-applied", "target-suspected", "attempt-failed", "attempt-not-added", "request-failed"})
 	assert.Assert(t, strings.Contains(strings.Join(x.Missing, "\n"), "left out 12 lines"))
 	assert.Assert(t, strings.Contains(strings.Join(x.Missing, "\n"), "1 lines could not be read"))
-	unknown := read(t).Request("r9")
+	unknown := readSample(t).Request("r9")
 	assert.Assert(t, strings.Contains(unknown.Missing[0], "no line names the request"))
 	var b strings.Builder
 	x.Print(&b)
 	assert.Assert(t, strings.Contains(b.String(), `* I0722 04:20:04.000000`), b.String())
 }
 
-// TestProcessesThatEndedAreNamed: a request that no line names may have been lost with
-// a process.
-func TestProcessesThatEndedAreNamed(t *testing.T) {
+// TestUnexpectedExits checks that process exits without a stop are reported for a request
+// that no line names: it may have been lost with such a process.
+func TestUnexpectedExits(t *testing.T) {
 	var g Log
 	assert.NilError(t, g.Read("f", strings.NewReader(`0.0012 a I0722 04:20:01.000000 1 gateway.go:1] "started" instance="a" zone="z"
 2.5012 a I0722 04:20:03.500000 1 state.go:75] "document-applied" version=7
--- a/explain/line.go
+++ b/explain/line.go
@@ -15,36 +15,38 @@
 
 // Line is one line of an instance's log.
 type Line struct {
-	// File names where the line stands, and Prefix what its collector put before
-	// it, as the name of a machine; numbers are left out, as times.
+	// File is the name of the line's file. Prefix is the text that a log collector put
+	// before the line, such as a host name, without numbers, such as timestamps.
 	File, Prefix string
 	// At is the time of day, without a date.
 	At    time.Duration
 	Event eventlog.Event
 	Keys  map[string]string
-	Text  string
+	Text  string // the line as read
 }
 
-// Get returns a key's value, empty if there is none.
+// Get returns the value of a key, or an empty string if the line does not have it.
 func (l *Line) Get(key string) string { return l.Keys[key] }
 
-// header is the head of a line: level and date, time, process, place, event.
-var header = regexp.MustCompile(`^(.*?)[IWEF]\d{4} (\d\d):(\d\d):(\d\d\.\d+)\s+\d+ [^\]]+\] "([a-z-]+)"(.*)$`)
+// linePattern matches a line: prefix, level and date, time, process, source position,
+// event, keys.
+var linePattern = regexp.MustCompile(`^(.*?)[IWEF]\d{4} (\d\d):(\d\d):(\d\d\.\d+)\s+\d+ [^\]]+\] "([a-z-]+)"(.*)$`)
 
-// pair is one key and its value, quoted or not.
-var pair = regexp.MustCompile(` ([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)`)
+// keyPattern matches one key and its value, quoted or not.
+var keyPattern = regexp.MustCompile(` ([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)`)
 
+// parseLine parses a line of a file, and reports whether it has the format of a log line.
 func parseLine(file, text string) (*Line, bool) {
-	m := header.FindStringSubmatch(text)
+	m := linePattern.FindStringSubmatch(text)
 	if m == nil {
 		return nil, false
 	}
-	at, err := timeOfDay(m[2], m[3], m[4])
+	at, err := parseTimeOfDay(m[2], m[3], m[4])
 	if err != nil {
 		return nil, false
 	}
-	l := &Line{File: file, Prefix: name(m[1]), At: at, Event: eventlog.Event(m[5]), Keys: make(map[string]string), Text: text}
-	for _, p := range pair.FindAllStringSubmatch(m[6], -1) {
+	l := &Line{File: file, Prefix: stripNumbers(m[1]), At: at, Event: eventlog.Event(m[5]), Keys: make(map[string]string), Text: text}
+	for _, p := range keyPattern.FindAllStringSubmatch(m[6], -1) {
 		value := p[2]
 		if unquoted, err := strconv.Unquote(value); err == nil {
 			value = unquoted
@@ -54,8 +56,9 @@
 	return l, true
 }
 
-// name is what a collector put before a line, without the times that it may add.
-func name(prefix string) string {
+// stripNumbers returns the prefix of a line without the numbers in it: a collector may
+// add timestamps, which differ between lines of one instance.
+func stripNumbers(prefix string) string {
 	var words []string
 	for _, w := range strings.Fields(prefix) {
 		if _, err := strconv.ParseFloat(w, 64); err != nil {
@@ -65,26 +68,28 @@
 	return strings.Join(words, " ")
 }
 
-func timeOfDay(hours, minutes, seconds string) (time.Duration, error) {
+func parseTimeOfDay(hours, minutes, seconds string) (time.Duration, error) {
 	return time.ParseDuration(hours + "h" + minutes + "m" + seconds + "s")
 }
 
-// maxLine bounds a line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds the length of a log line; reading a file with a longer line fails.
+const maxLineBytes = 1 << 20
 
-// Log is what was read of all files.
+// Log holds the lines of all files that were read.
 type Log struct {
 	Lines []*Line
-	// Skipped counts the lines that could not be read.
+	// Skipped is the number of lines that could not be parsed.
 	Skipped int
-	// Dropped is how many lines instances say they left out.
+	// Dropped is the number of lines that instances left out, from their
+	// lines-dropped events.
 	Dropped int
 }
 
-// Read adds a file's lines.
+// Read adds the lines of a file; the name file is used to tell instances apart and in
+// errors.
 func (g *Log) Read(file string, r io.Reader) error {
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, maxLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		if strings.TrimSpace(s.Text()) == "" {
 			continue
--- a/losses/content.go
+++ b/losses/content.go
@@ -10,24 +10,25 @@
 	"github.com/clementinereel/clementinereel/explain"
 )
 
-// suspiciousTargets is at how many different targets a content loses its answer to be named:
-// one that does so at several may be what ends them.
-const suspiciousTargets = 2
+// minSuspiciousTargets is the number of different targets at which attempts with the same
+// content must lose their response for it to be listed: such a content may crash targets.
+const minSuspiciousTargets = 2
 
-// Content is what attempts with the same content met, under whatever request IDs.
+// Content sums up the failed attempts with the same request content, across request IDs.
 type Content struct {
 	Name, Service string
-	// Lost is how many attempts lost their answer.
+	// Lost is the number of attempts that lost their response.
 	Lost int
-	// Targets are those at which they did.
+	// Targets are the targets at which responses were lost.
 	Targets map[string]bool
-	// Requests are the requests that the attempts belong to.
+	// Requests are the IDs of the requests that the attempts belong to.
 	Requests map[string]bool
-	// From and To are when the first and the last did, as times of day.
+	// From and To are the times of day of the first and the last loss.
 	From, To time.Duration
 }
 
-// addContent takes in a line of an attempt that lost its answer.
+// addContent records the line of an attempt that lost its response; only those
+// lines name a content.
 func (t *Table) addContent(l *explain.Line) {
 	name := l.Get("content")
 	if l.Event != eventlog.AttemptFailed || name == "" {
@@ -44,11 +45,12 @@
 	c.To = l.At
 }
 
-// Suspicious are the contents that lost their answer at several targets, at most targets first.
-func (t *Table) Suspicious() []*Content {
+// SuspiciousContents returns the contents whose responses were lost at several targets,
+// those with the most targets first.
+func (t *Table) SuspiciousContents() []*Content {
 	var all []*Content
 	for _, c := range t.contents {
-		if len(c.Targets) >= suspiciousTargets {
+		if len(c.Targets) >= minSuspiciousTargets {
 			all = append(all, c)
 		}
 	}
@@ -61,16 +63,16 @@
 	return all
 }
 
-// contentsPrinted bounds the contents that are named.
-const contentsPrinted = 10
+// maxContentsPrinted bounds the number of contents that are listed.
+const maxContentsPrinted = 10
 
 func (t *Table) printContents(w io.Writer) {
-	all := t.Suspicious()
+	all := t.SuspiciousContents()
 	if len(all) == 0 {
 		return
 	}
 	fmt.Fprintln(w, "\ncontent that lost its answer at several targets\tservice\ttargets\tattempts\trequests\tover s")
-	for _, c := range all[:min(len(all), contentsPrinted)] {
+	for _, c := range all[:min(len(all), maxContentsPrinted)] {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%.1f\n", c.Name, c.Service, len(c.Targets), c.Lost, len(c.Requests), (c.To - c.From).Seconds())
 	}
 }
--- a/losses/doc.go
+++ b/losses/doc.go
@@ -1,10 +1,10 @@
-// Package losses sums up from instances' log files where requests were lost: by
-// service, class and moment, and by the cause that decided each.
+// Package losses summarizes lost requests from instances' log files: by service,
+// class and time, and by the cause that decided each.
 //
-// Beside the requests it states, by service, for how long sick targets went on getting
-// ordinary work (detection time) and how many targets were set aside while their work
-// went well (false ejections), and why connections to targets were opened.
+// For each service it also reports how long unhealthy targets kept receiving
+// ordinary requests (detection time), how many targets were ejected while they
+// served their requests (false ejections), and why connections to targets were opened.
 //
-// It reads what the instances wrote and nothing else: a request that was lost with a
-// process is not in it.
+// Its only source is the log lines: a request that was lost because its instance's
+// process ended is not counted.
 package losses
--- a/losses/losses_test.go
+++ b/losses/losses_test.go
@@ -32,15 +32,15 @@
 garbage
 `
 
-func table(t *testing.T) *Table {
+func newTable(t *testing.T) *Table {
 	var g explain.Log
 	assert.NilError(t, g.Read("f", strings.NewReader(sample)))
 	return New(&g)
 }
 
-func TestEachLostRequestHasItsCause(t *testing.T) {
+func TestCauseOfEachLostRequest(t *testing.T) {
 	causes := make(map[string]string)
-	for _, x := range table(t).Lost {
+	for _, x := range newTable(t).Lost {
 		causes[x.ID] = x.Outcome + ": " + x.Cause
 	}
 	assert.DeepEqual(t, causes, map[string]string{
@@ -53,18 +53,18 @@
 }
 
 func TestDetectionAndFalseEjections(t *testing.T) {
-	d := table(t).Services["s"]
-	assert.Equal(t, d.Bouts, 1)
+	d := newTable(t).Services["s"]
+	assert.Equal(t, d.UnhealthyPeriods, 1)
 	assert.Equal(t, d.Median(), 400*time.Millisecond-100*time.Microsecond)
-	assert.Equal(t, d.Ordinary, 2)
-	assert.Equal(t, d.Trials, 1)
-	assert.Equal(t, d.Single, 1)
-	assert.Equal(t, d.Aside, 2)
-	assert.Equal(t, d.False, 1, "t2 failed once and was set aside for a second")
+	assert.Equal(t, d.OrdinaryFailures, 2)
+	assert.Equal(t, d.TrialFailures, 1)
+	assert.Equal(t, d.SingleFailures, 1)
+	assert.Equal(t, d.Ejections, 2)
+	assert.Equal(t, d.FalseEjections, 1, "t2 failed once and was ejected for a second")
 }
 
-func TestTheTableSaysWhatItCouldNotRead(t *testing.T) {
-	x := table(t)
+func TestPrintCountsUnreadableLines(t *testing.T) {
+	x := newTable(t)
 	assert.Equal(t, x.Connections["reused"], 10)
 	var b strings.Builder
 	assert.NilError(t, x.Print(&b, 1))
@@ -74,9 +74,9 @@
 	assert.Equal(t, x.Skipped, 1)
 }
 
-// TestAContentThatLosesItsAnswerAtSeveralTargetsIsNamed: the requests that are the same one again
-// have different IDs and come to different instances.
-func TestAContentThatLosesItsAnswerAtSeveralTargetsIsNamed(t *testing.T) {
+// TestSuspiciousContents checks that a content is found across repetitions of a request
+// that have different IDs and reach different instances.
+func TestSuspiciousContents(t *testing.T) {
 	var g explain.Log
 	assert.NilError(t, g.Read("f", strings.NewReader(`I0722 04:20:01.000000 1 attempt.go:1] "attempt-failed" request="r1" service="s" target="t1" kind="broken" content="aa" caller="10.0.0.9"
 I0722 04:20:01.500000 1 attempt.go:1] "attempt-failed" request="r2" service="s" target="t2" kind="broken" content="bb" caller="10.0.0.8"
@@ -84,7 +84,7 @@
 `)))
 	assert.NilError(t, g.Read("g", strings.NewReader(`I0722 04:20:03.000000 1 attempt.go:1] "attempt-failed" request="r3" service="s" target="t2" kind="broken" content="aa" caller="10.0.0.9"
 `)))
-	all := New(&g).Suspicious()
+	all := New(&g).SuspiciousContents()
 	assert.Equal(t, len(all), 1)
 	assert.Equal(t, all[0].Name, "aa")
 	assert.Equal(t, len(all[0].Targets), 2)
--- a/losses/request.go
+++ b/losses/request.go
@@ -12,41 +12,41 @@
 // Lost is a request that was not served.
 type Lost struct {
 	ID, Service, Class string
-	// At is when it ended, as a time of day.
+	// At is the time of day at which the request ended.
 	At time.Duration
-	// Outcome is how it ended: refused, failed by its target or by the instance, or
-	// left by its caller.
+	// Outcome is how the request ended, one of the outcome constants.
 	Outcome string
-	// Cause decided it.
+	// Cause is the reason for the outcome, in words for operators.
 	Cause string
 }
 
 // Outcomes of lost requests.
 const (
-	outcomeRefused  = "refused"
-	outcomeTarget   = "failed by target"
-	outcomeInstance = "failed by instance"
-	outcomeLeft     = "caller left"
+	outcomeRefused    = "refused"
+	outcomeTarget     = "failed by target"
+	outcomeInstance   = "failed by instance"
+	outcomeCallerLeft = "caller left"
 )
 
-// outsideConfiguration is the status of a request to which no route leads.
-const outsideConfiguration = "404"
+// statusNoRoute is the status of a request that matches no route. Such requests are
+// not counted as lost.
+const statusNoRoute = "404"
 
-// history is what the logs say of one request, in order of time.
-type history struct {
-	class  string
-	failed *explain.Line // the last attempt that brought nothing
-	open   *explain.Line // an attempt without an answer at the end
-	denied *explain.Line // why there was no further one
-	final  *explain.Line
+// requestLog keeps the log lines that decide the outcome of one request.
+type requestLog struct {
+	class      string
+	failed     *explain.Line // the last attempt that failed
+	unanswered *explain.Line // an attempt still without a response when the request ended
+	denied     *explain.Line // why no further attempt was made
+	final      *explain.Line // the end of the request
 }
 
-func (h *history) add(l *explain.Line) {
+func (h *requestLog) add(l *explain.Line) {
 	switch l.Event {
 	case eventlog.AttemptFailed:
 		h.failed = l
 	case eventlog.AttemptOpen:
-		h.open = l
+		h.unanswered = l
 	case eventlog.AttemptNotAdded:
 		h.denied = l
 	case eventlog.RequestFailed, eventlog.RequestRefused, eventlog.CallerDisconnected:
@@ -57,9 +57,9 @@
 	}
 }
 
-// lost returns the request if it was not served.
-func (h *history) lost(id string) (Lost, bool) {
-	if h.final == nil || h.final.Get("status") == outsideConfiguration {
+// lost returns the request as a Lost, or false if it was served or matched no route.
+func (h *requestLog) lost(id string) (Lost, bool) {
+	if h.final == nil || h.final.Get("status") == statusNoRoute {
 		return Lost{}, false
 	}
 	x := Lost{ID: id, Service: h.final.Get("service"), Class: h.class, At: h.final.At, Outcome: outcome(h.final), Cause: h.cause()}
@@ -74,31 +74,31 @@
 	case final.Event == eventlog.RequestRefused:
 		return outcomeRefused
 	case final.Event == eventlog.CallerDisconnected:
-		return outcomeLeft
+		return outcomeCallerLeft
 	case final.Get("by") == "target":
 		return outcomeTarget
 	}
 	return outcomeInstance
 }
 
-func (h *history) cause() string {
+func (h *requestLog) cause() string {
 	switch {
 	case h.final.Event == eventlog.CallerDisconnected:
-		return "the caller left after " + span(h.final.Get("after_ms"))
-	case h.open != nil:
-		return "out of time: " + waiting(h.open)
+		return "the caller left after " + durationRange(h.final.Get("after_ms"))
+	case h.unanswered != nil:
+		return "out of time: " + timeoutCause(h.unanswered)
 	case h.failed == nil:
 		return h.final.Get("why")
 	}
-	cause := failure(h.failed) + " at " + belief(h.failed)
+	cause := failureCause(h.failed) + " at " + targetHealth(h.failed)
 	if h.denied != nil {
-		cause += "; " + denial(h.denied)
+		cause += "; " + denialCause(h.denied)
 	}
 	return cause
 }
 
-// failure names what an attempt brought.
-func failure(l *explain.Line) string {
+// failureCause describes how an attempt failed.
+func failureCause(l *explain.Line) string {
 	switch l.Get("kind") {
 	case "answered":
 		return "error " + l.Get("status")
@@ -117,8 +117,8 @@
 	return "reset, fresh connection"
 }
 
-// belief says what was believed of the attempt's target when it was chosen.
-func belief(l *explain.Line) string {
+// targetHealth describes the target's health estimate at the time the attempt chose it.
+func targetHealth(l *explain.Line) string {
 	fails, err := strconv.ParseFloat(l.Get("fails"), 64)
 	switch {
 	case err != nil:
@@ -131,26 +131,27 @@
 	return "a doubtful target"
 }
 
-func denial(l *explain.Line) string {
+func denialCause(l *explain.Line) string {
 	if l.Get("budget_left") != "" {
 		return "no retry budget"
 	}
 	return l.Get("why")
 }
 
-// waiting says on what an attempt without an answer spent its time.
-func waiting(l *explain.Line) string {
+// timeoutCause describes where an unanswered attempt spent its time: in the queue
+// of a target whose slots were all in use, or in slow processing.
+func timeoutCause(l *explain.Line) string {
 	slots, err := strconv.Atoi(l.Get("slots"))
 	inFlight, err2 := strconv.Atoi(l.Get("in_flight"))
 	place := "slow work"
 	if err == nil && err2 == nil && inFlight >= slots {
 		place = "queue"
 	}
-	return place + " at " + belief(l)
+	return place + " at " + targetHealth(l)
 }
 
-// span rounds a time in milliseconds to a word.
-func span(ms string) string {
+// durationRange returns the range that contains a duration in milliseconds, in words.
+func durationRange(ms string) string {
 	n, err := strconv.Atoi(ms)
 	switch {
 	case err != nil:
--- a/losses/table.go
+++ b/losses/table.go
@@ -12,31 +12,32 @@
 	"github.com/clementinereel/clementinereel/explain"
 )
 
-// window is the length of the spans of time by which losses are counted.
+// window is the length of the time windows in which losses are counted.
 const window = 2 * time.Second
 
-// Table is what was lost.
+// Table is a summary of lost requests, target failures and connections.
 type Table struct {
+	// Lost are the lost requests, in order of time.
 	Lost []Lost
-	// Services are the figures of detection by service.
+	// Services maps the name of a service to its detection figures.
 	Services map[string]*Detection
-	// Connections counts, by reason, why connections to targets were opened, and
-	// Reused those that carried a request again.
+	// Connections maps a key of the connections-used event to its sum: the
+	// connections to targets by the reason why they were opened, and the reuses.
 	Connections map[string]int
-	// Skipped and Dropped are the lines that could not be read and those that
-	// instances left out.
+	// Skipped is the number of lines that could not be parsed, Dropped the number
+	// of lines that instances left out.
 	Skipped, Dropped int
 
-	requests map[string]*history
+	requests map[string]*requestLog
 	targets  map[string]*targetLog
 	contents map[string]*Content
 }
 
-// New sums up the lines of a log.
+// New returns the summary of a log.
 func New(g *explain.Log) *Table {
 	t := &Table{
 		Services: make(map[string]*Detection), Connections: make(map[string]int), Skipped: g.Skipped, Dropped: g.Dropped,
-		requests: make(map[string]*history), targets: make(map[string]*targetLog),
+		requests: make(map[string]*requestLog), targets: make(map[string]*targetLog),
 		contents: make(map[string]*Content),
 	}
 	lines := append([]*explain.Line(nil), g.Lines...)
@@ -61,7 +62,7 @@
 			d = new(Detection)
 			t.Services[x.service] = d
 		}
-		x.detect(d)
+		x.addTo(d)
 	}
 	for _, d := range t.Services {
 		sort.Slice(d.Times, func(a, b int) bool { return d.Times[a] < d.Times[b] })
@@ -76,13 +77,14 @@
 	}
 	h := t.requests[id]
 	if h == nil {
-		h = new(history)
+		h = new(requestLog)
 		t.requests[id] = h
 	}
 	h.add(l)
 }
 
-// addConnections adds an instance's counts since its last line.
+// addConnections adds the counts of a connections-used line, which cover the time
+// since the instance's previous one.
 func (t *Table) addConnections(l *explain.Line) {
 	for key, value := range l.Keys {
 		if n, err := strconv.Atoi(value); err == nil {
@@ -91,33 +93,34 @@
 	}
 }
 
-// key is what losses are counted by.
-type key struct{ service, class, outcome, cause string }
+// causeKey is the key by which lost requests are grouped.
+type causeKey struct{ service, class, outcome, cause string }
 
-// Print writes the table; causes that took fewer than least requests are summed up.
-func (t *Table) Print(out io.Writer, least int) error {
+// Print writes the table. Causes of fewer than minRequests requests are summed up
+// in one row.
+func (t *Table) Print(out io.Writer, minRequests int) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	t.printCauses(w, least)
+	t.printCauses(w, minRequests)
 	t.printWindows(w)
 	t.printDetection(w)
 	t.printContents(w)
 	fmt.Fprintln(w, "\nconnections to targets")
-	for _, name := range sorted(t.Connections) {
+	for _, name := range sortedKeys(t.Connections) {
 		fmt.Fprintf(w, "%s\t%d\n", name, t.Connections[name])
 	}
 	fmt.Fprintf(w, "\nlines that could not be read\t%d\nlines that instances left out\t%d\n", t.Skipped, t.Dropped)
 	return w.Flush()
 }
 
-func (t *Table) printCauses(w io.Writer, least int) {
-	counts := make(map[key]int)
+func (t *Table) printCauses(w io.Writer, minRequests int) {
+	counts := make(map[causeKey]int)
 	for _, x := range t.Lost {
-		counts[key{x.Service, x.Class, x.Outcome, x.Cause}]++
+		counts[causeKey{x.Service, x.Class, x.Outcome, x.Cause}]++
 	}
-	keys := make([]key, 0, len(counts))
+	keys := make([]causeKey, 0, len(counts))
 	rest := 0
 	for k, n := range counts {
-		if n < least {
+		if n < minRequests {
 			rest += n
 			continue
 		}
@@ -151,31 +154,31 @@
 		for ; to < len(t.Lost) && t.Lost[to].At < begin+window; to++ {
 			causes[t.Lost[to].Service+": "+t.Lost[to].Cause]++
 		}
-		most := ""
-		for _, c := range sorted(causes) {
-			if most == "" || causes[c] > causes[most] {
-				most = c
+		topCause := ""
+		for _, c := range sortedKeys(causes) {
+			if topCause == "" || causes[c] > causes[topCause] {
+				topCause = c
 			}
 		}
-		fmt.Fprintf(w, "%.0f s\t%d\t%d %s\n", (begin - start).Seconds(), to-from, causes[most], most)
+		fmt.Fprintf(w, "%.0f s\t%d\t%d %s\n", (begin - start).Seconds(), to-from, causes[topCause], topCause)
 		from = to
 	}
 }
 
 func (t *Table) printDetection(w io.Writer) {
 	fmt.Fprintln(w, "\nservice\tbouts\tdetection median ms\tmost ms\tordinary failures\ttrials failed\tsingle failures\tset aside\tfalsely")
-	for _, name := range sorted(t.Services) {
+	for _, name := range sortedKeys(t.Services) {
 		d := t.Services[name]
-		most := time.Duration(0)
+		longest := time.Duration(0)
 		if n := len(d.Times); n > 0 {
-			most = d.Times[n-1]
+			longest = d.Times[n-1]
 		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", name, d.Bouts, d.Median().Milliseconds(), most.Milliseconds(),
-			d.Ordinary, d.Trials, d.Single, d.Aside, d.False)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", name, d.UnhealthyPeriods, d.Median().Milliseconds(), longest.Milliseconds(),
+			d.OrdinaryFailures, d.TrialFailures, d.SingleFailures, d.Ejections, d.FalseEjections)
 	}
 }
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	names := make([]string, 0, len(m))
 	for name := range m {
 		names = append(names, name)
--- a/losses/target.go
+++ b/losses/target.go
@@ -10,24 +10,27 @@
 	"github.com/clementinereel/clementinereel/placement"
 )
 
-// Detection is how a service's sick targets were met.
+// Detection holds the figures on the detection of a service's unhealthy targets.
 type Detection struct {
-	// Bouts is how many times a target failed more than once in a row.
-	Bouts int
-	// Times are, in order, the times from the first failure of a bout to the last
-	// failure of work that was sent to it as to a sound target.
+	// UnhealthyPeriods is the number of runs of two or more failures of a target,
+	// each within maxFailureGap of the previous one.
+	UnhealthyPeriods int
+	// Times are the detection times in ascending order: from the start of the first
+	// failed attempt of an unhealthy period to the start of its last failed ordinary one.
 	Times []time.Duration
-	// Ordinary is the work that failed in bouts though it was sent as to a sound
-	// target, Trials that which was sent to a target known to be doubtful.
-	Ordinary, Trials int
-	// Single is how many failures stand alone: sound targets fail now and then.
-	Single int
-	// Aside is how many times a target was set aside, False how many of these
-	// followed at most one failure.
-	Aside, False int
+	// OrdinaryFailures is the number of attempts that failed in unhealthy periods while
+	// the target was estimated to be healthy, TrialFailures the number of those
+	// that were sent to a target estimated to be doubtful (trials).
+	OrdinaryFailures, TrialFailures int
+	// SingleFailures is the number of failures outside unhealthy periods: healthy
+	// targets fail occasionally.
+	SingleFailures int
+	// Ejections is the number of times a target was ejected, FalseEjections the number
+	// of ejections with at most one failure shortly before, during or after them.
+	Ejections, FalseEjections int
 }
 
-// Median is the middle detection time; 0 if no bout was seen.
+// Median returns the median detection time, or 0 if there was no unhealthy period.
 func (d *Detection) Median() time.Duration {
 	if len(d.Times) == 0 {
 		return 0
@@ -35,32 +38,33 @@
 	return d.Times[len(d.Times)/2]
 }
 
-// boutGap is the longest time between two failures of one bout.
-const boutGap = 3 * time.Second
+// maxFailureGap bounds the time between two failures of one unhealthy period, between
+// two changes of one ejection, and between an ejection and the failures counted for it.
+const maxFailureGap = 3 * time.Second
 
-// attempt is one that failed at a target.
-type attempt struct {
-	at       time.Duration
-	ordinary bool
+// failedAttempt is an attempt that failed at a target for another reason than its capacity.
+type failedAttempt struct {
+	startedAt time.Duration
+	ordinary  bool // the target was estimated to be healthy
 }
 
-// spell is a time for which some instance had set a target aside.
-type spell struct{ from, to time.Duration }
+// ejection is a period in which at least one instance had ejected a target.
+type ejection struct{ from, to time.Duration }
 
-// targetLog is what the logs say of one target.
+// targetLog collects the failures and ejections of one target.
 type targetLog struct {
 	service  string
-	failures []attempt
-	changes  []change
+	failures []failedAttempt
+	changes  []ejectionChange
 }
 
-// change is an instance's change of mind on a target.
-type change struct {
-	at    time.Duration
-	aside bool
+// ejectionChange is an instance's decision to eject a target or to readmit it.
+type ejectionChange struct {
+	at      time.Duration
+	ejected bool
 }
 
-// addTarget takes in a line that tells of a target.
+// addTarget records a line that concerns a target.
 func (t *Table) addTarget(l *explain.Line) {
 	id := l.Get("target")
 	if id == "" {
@@ -74,19 +78,20 @@
 	switch l.Event {
 	case eventlog.AttemptFailed:
 		if l.Get("kind") == "refused" {
-			return // a target that is full is not sick
+			return // a target without capacity is not unhealthy
 		}
 		fails, err := strconv.ParseFloat(l.Get("fails"), 64)
-		x.failures = append(x.failures, attempt{began(l), err == nil && fails < placement.DoubtfulFailureProbability})
+		x.failures = append(x.failures, failedAttempt{attemptStart(l), err == nil && fails < placement.DoubtfulFailureProbability})
 	case eventlog.TargetSuspected:
-		x.changes = append(x.changes, change{l.At, true})
+		x.changes = append(x.changes, ejectionChange{l.At, true})
 	case eventlog.TargetCleared:
-		x.changes = append(x.changes, change{l.At, false})
+		x.changes = append(x.changes, ejectionChange{l.At, false})
 	}
 }
 
-// began is when the line's attempt began.
-func began(l *explain.Line) time.Duration {
+// attemptStart returns the start time of the line's attempt, or the time of the line
+// if it has no duration.
+func attemptStart(l *explain.Line) time.Duration {
 	took, err := time.ParseDuration(l.Get("took_ms") + "ms")
 	if err != nil {
 		return l.At
@@ -94,65 +99,67 @@
 	return l.At - took
 }
 
-// detect adds what happened at the target to its service's figures.
-func (x *targetLog) detect(d *Detection) {
-	sort.Slice(x.failures, func(a, b int) bool { return x.failures[a].at < x.failures[b].at })
+// addTo adds the target's failures and ejections to its service's figures.
+func (x *targetLog) addTo(d *Detection) {
+	sort.Slice(x.failures, func(a, b int) bool { return x.failures[a].startedAt < x.failures[b].startedAt })
 	for from := 0; from < len(x.failures); {
 		to := from + 1
-		for to < len(x.failures) && x.failures[to].at-x.failures[to-1].at < boutGap {
+		for to < len(x.failures) && x.failures[to].startedAt-x.failures[to-1].startedAt < maxFailureGap {
 			to++
 		}
-		d.bout(x.failures[from:to])
+		d.addFailures(x.failures[from:to])
 		from = to
 	}
-	for _, s := range x.spells() {
-		d.Aside++
-		if x.failed(s) <= 1 {
-			d.False++
+	for _, s := range x.ejections() {
+		d.Ejections++
+		if x.countFailures(s) <= 1 {
+			d.FalseEjections++
 		}
 	}
 }
 
-func (d *Detection) bout(fs []attempt) {
+// addFailures adds a run of failures: a single failure or an unhealthy period.
+func (d *Detection) addFailures(fs []failedAttempt) {
 	if len(fs) == 1 {
-		d.Single++
+		d.SingleFailures++
 		return
 	}
-	d.Bouts++
-	last := fs[0].at
+	d.UnhealthyPeriods++
+	last := fs[0].startedAt
 	for _, f := range fs {
 		if !f.ordinary {
-			d.Trials++
+			d.TrialFailures++
 			continue
 		}
-		d.Ordinary++
-		last = f.at
+		d.OrdinaryFailures++
+		last = f.startedAt
 	}
-	d.Times = append(d.Times, last-fs[0].at)
+	d.Times = append(d.Times, last-fs[0].startedAt)
 }
 
-// spells are the times from a first suspicion of any instance until the last
-// change of mind.
-func (x *targetLog) spells() []spell {
+// ejections returns the periods from the first ejection by any instance to the last
+// change that follows within maxFailureGap of the previous one.
+func (x *targetLog) ejections() []ejection {
 	sort.SliceStable(x.changes, func(a, b int) bool { return x.changes[a].at < x.changes[b].at })
-	var all []spell
+	var all []ejection
 	for _, c := range x.changes {
 		last := len(all) - 1
 		switch {
-		case last >= 0 && c.at-all[last].to < boutGap:
+		case last >= 0 && c.at-all[last].to < maxFailureGap:
 			all[last].to = c.at
-		case c.aside:
-			all = append(all, spell{c.at, c.at})
+		case c.ejected:
+			all = append(all, ejection{c.at, c.at})
 		}
 	}
 	return all
 }
 
-// failed counts the failures just before and within a spell.
-func (x *targetLog) failed(s spell) int {
+// countFailures returns the number of failures during the ejection and within
+// maxFailureGap of it.
+func (x *targetLog) countFailures(s ejection) int {
 	n := 0
 	for _, f := range x.failures {
-		if f.at > s.from-boutGap && f.at < s.to+boutGap {
+		if f.startedAt > s.from-maxFailureGap && f.startedAt < s.to+maxFailureGap {
 			n++
 		}
 	}
