--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -62,7 +62,7 @@
 // firstTry returns how the first try ended.
 func (r *run) firstTry() upstream.Result {
 	r.first = time.Now()
-	r.svc.Budget().First(r.first, r.job.Policy)
+	r.svc.Budget().RecordFirstTry(r.first, r.job.Policy)
 	r.tries = 1
 	r.plan(0)
 	if r.pending.Action == retry.Hedge {
@@ -188,5 +188,5 @@
 // Answered tells whether a result has an answer that may be passed on to the
 // caller: a whole one that the target does not take back as unrun.
 func Answered(res *upstream.Result) bool {
-	return res.Answer != nil && !res.Try.RefusedUnrun()
+	return res.Answer != nil && !res.Try.NotRun()
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -12,19 +12,20 @@
 // ServiceID names a service as "customer/service"; it is unique in the fleet.
 type ServiceID string
 
-// NewServiceID joins a customer and a service name of its contract.
+// NewServiceID returns the ID of the service with the given name in the
+// customer's contract.
 func NewServiceID(c CustomerID, name string) ServiceID {
 	return ServiceID(string(c) + "/" + name)
 }
 
-// Split returns the customer and the service's name in its contract.
+// Split returns the customer and the service's name in the customer's contract.
 func (s ServiceID) Split() (CustomerID, string) {
 	customer, name, _ := strings.Cut(string(s), "/")
 	return CustomerID(customer), name
 }
 
 // TargetID names one target (back end) of a service. It is unique within the
-// service and never used again for another machine.
+// service and never reused for another machine.
 type TargetID string
 
 // InstanceID names one instance of the proxy.
@@ -33,35 +34,35 @@
 // Zone names an availability zone.
 type Zone string
 
-// Incarnation tells apart two processes that ran under one InstanceID. It is
+// Incarnation distinguishes processes that ran under the same InstanceID. It is
 // the start time of the process in nanoseconds since the Unix epoch.
 type Incarnation int64
 
-// Holder names one process: an instance and its incarnation.
+// Holder identifies one process by its instance and incarnation.
 type Holder struct {
 	Instance    InstanceID  `json:"instance"`
 	Incarnation Incarnation `json:"incarnation"`
 }
 
-// String prints the holder as "instance@incarnation".
+// String returns the holder as "instance@incarnation".
 func (h Holder) String() string {
 	return string(h.Instance) + "@" + strconv.FormatInt(int64(h.Incarnation), 10)
 }
 
-// Class is the kind of work a route carries. It decides whether work may be
-// repeated and how it is valued when capacity is short.
+// Class is the kind of requests on a route. It determines whether they may be
+// repeated and their priority when capacity is short.
 type Class uint8
 
 const (
 	// Lookup is idempotent and short: it may be retried and hedged.
 	Lookup Class = iota + 1
-	// Confirmation must run at most once: a deposit or a settlement.
+	// Confirmation must run at most once, such as a deposit or a settlement.
 	Confirmation
 	// Upload streams a large body and is acknowledged only when stored.
 	Upload
 )
 
-// Classes lists every class, in the order of their numbers.
+// Classes lists all classes in the order of their values.
 var Classes = []Class{Lookup, Confirmation, Upload}
 
 var classNames = map[Class]string{
@@ -70,7 +71,7 @@
 	Upload:       "upload",
 }
 
-// String returns the class as contracts write it.
+// String returns the name of the class in contracts.
 func (c Class) String() string {
 	name, ok := classNames[c]
 	if !ok {
@@ -79,12 +80,12 @@
 	return name
 }
 
-// MarshalText writes the class as contracts write it.
+// MarshalText returns the name of the class in contracts.
 func (c Class) MarshalText() ([]byte, error) {
 	return []byte(c.String()), nil
 }
 
-// UnmarshalText reads "lookup", "confirmation" or "upload".
+// UnmarshalText accepts "lookup", "confirmation" or "upload".
 func (c *Class) UnmarshalText(b []byte) error {
 	for class, name := range classNames {
 		if name == string(b) {
@@ -95,19 +96,21 @@
 	return fmt.Errorf("unknown class %q: want lookup, confirmation or upload", b)
 }
 
-// Outcome is what a caller is told about a request that must not repeat.
+// Outcome is the result reported to the caller of a request that must not be
+// repeated.
 type Outcome uint8
 
 const (
-	// Completed means the target ran the work and its whole answer is known.
+	// Completed means the target ran the request and its full response arrived.
 	Completed Outcome = iota + 1
-	// NotRun means no target ran the work and none will under this attempt.
+	// NotRun means no target ran the request and none will in this attempt.
 	NotRun
-	// Unknown means the work may have run; only reconciliation can tell.
+	// Unknown means the request may have run; only reconciliation can determine
+	// whether it did.
 	Unknown
 )
 
-// String returns the outcome as the Outcome header carries it.
+// String returns the value of the outcome in the Operation-Outcome header.
 func (o Outcome) String() string {
 	switch o {
 	case Completed:
--- a/fleet/target.go
+++ b/fleet/target.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// TargetState is what operators announced of a target.
+// TargetState is the state of a target as announced by the operators.
 type TargetState uint8
 
 const (
-	// Joined targets may be given work.
+	// Joined targets may receive requests.
 	Joined TargetState = iota + 1
-	// Leaving targets get no new work; what runs there finishes.
+	// Leaving targets receive no new requests; running ones complete.
 	Leaving
-	// Stopped targets are gone.
+	// Stopped targets have been removed from service.
 	Stopped
 )
 
-// String returns the state as announcements write it.
+// String returns the name of the state in announcements.
 func (s TargetState) String() string {
 	switch s {
 	case Joined:
@@ -30,10 +30,10 @@
 	return fmt.Sprintf("target-state(%d)", uint8(s))
 }
 
-// MarshalText writes the state as announcements write it.
+// MarshalText returns the name of the state in announcements.
 func (s TargetState) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads "joined", "leaving" or "stopped".
+// UnmarshalText accepts "joined", "leaving" or "stopped".
 func (s *TargetState) UnmarshalText(b []byte) error {
 	for _, v := range []TargetState{Joined, Leaving, Stopped} {
 		if v.String() == string(b) {
@@ -53,55 +53,59 @@
 	Zone Zone   `json:"zone"`
 	// State is the last announced state.
 	State TargetState `json:"state"`
-	// Since is when the log accepted the last announcement, by its clock.
+	// Since is the time at which the log service accepted the last
+	// announcement, by its clock.
 	Since time.Time `json:"since"`
 }
 
-// TryResult is how one try of a request at one target ended, as an instance
-// saw it. It is the evidence on which targets are judged.
+// TryResult is the result of one try of a request at one target, as observed by
+// an instance. It is the evidence for the target's health estimate.
 type TryResult uint8
 
 const (
-	// TryOK means the target's whole answer arrived and blames nobody.
+	// TryOK means the full response arrived and indicates no target failure.
 	TryOK TryResult = iota + 1
-	// TryTimeout means the target did not answer in the time it was given.
+	// TryTimeout means the target did not respond within the timeout.
 	TryTimeout
-	// TryDialFailed means no connection came about; nothing was sent.
+	// TryDialFailed means no connection could be established; nothing was sent.
 	TryDialFailed
-	// TryReset means the connection broke before the answer began.
+	// TryReset means the connection broke before the response began.
 	TryReset
-	// TryTruncated means the answer broke off before its end.
+	// TryTruncated means the response broke off before its end.
 	TryTruncated
-	// TryError means a whole answer that says the target failed (a 5xx
-	// status that is none of the cases below).
+	// TryError means a full response with a 5xx status that is none of the
+	// cases below.
 	TryError
-	// TryShed means the target said it was full and did not run the request.
+	// TryShed means the target reported that it was at capacity and did not
+	// run the request.
 	TryShed
-	// TryDraining means the target said it is leaving and did not run it.
+	// TryDraining means the target reported that it is leaving and did not
+	// run the request.
 	TryDraining
-	// TryCold means the target said it is not warm yet and did not run it.
+	// TryCold means the target reported that it is still warming up and did
+	// not run the request.
 	TryCold
-	// TryCanceled means this instance or the caller gave up first, for a
-	// reason that says nothing of the target.
+	// TryCanceled means this instance or the caller canceled the try for a
+	// reason unrelated to the target's health.
 	TryCanceled
 )
 
-var tryNames = [...]string{
+var tryResultNames = [...]string{
 	TryOK: "ok", TryTimeout: "timeout", TryDialFailed: "dial-failed",
 	TryReset: "reset", TryTruncated: "truncated", TryError: "error",
 	TryShed: "shed", TryDraining: "draining", TryCold: "cold",
 	TryCanceled: "canceled",
 }
 
-// String returns the result as logs and metrics write it.
+// String returns the name of the result in logs and metrics.
 func (r TryResult) String() string {
-	if r == 0 || int(r) >= len(tryNames) {
+	if r == 0 || int(r) >= len(tryResultNames) {
 		return fmt.Sprintf("try(%d)", uint8(r))
 	}
-	return tryNames[r]
+	return tryResultNames[r]
 }
 
-// Failed tells whether the result speaks against the target.
+// Failed reports whether the result counts as a failure of the target.
 func (r TryResult) Failed() bool {
 	switch r {
 	case TryTimeout, TryDialFailed, TryReset, TryTruncated, TryError:
@@ -110,8 +114,8 @@
 	return false
 }
 
-// RefusedUnrun tells whether the target certainly did not run the request.
-func (r TryResult) RefusedUnrun() bool {
+// NotRun reports whether the target certainly did not run the request.
+func (r TryResult) NotRun() bool {
 	switch r {
 	case TryDialFailed, TryShed, TryDraining, TryCold:
 		return true
--- a/lab/request.go
+++ b/lab/request.go
@@ -75,7 +75,7 @@
 // begin makes the first try of an admitted request.
 func (r *run) begin(q *request) {
 	in := r.instances[q.instance]
-	in.budget.First(epoch.Add(r.now), in.retries)
+	in.budget.RecordFirstTry(epoch.Add(r.now), in.retries)
 	r.startTry(q)
 }
 
@@ -180,7 +180,7 @@
 	took := r.now - y.start
 	in.policy.Record(r.now, y.ticket, result, took)
 	in.gate.Observe(epoch.Add(r.now), result, took)
-	in.budget.Observe(epoch.Add(r.now), result)
+	in.budget.RecordResult(epoch.Add(r.now), result)
 	y.pick.Done(balancer.DoneInfo{Result: result, Latency: took})
 	r.watch.result(r, y, result)
 	r.watch.lookAt(r, y.instance, y.target)
@@ -230,7 +230,7 @@
 		r.leave(q)
 		return
 	}
-	if q.pending.Unrun {
+	if q.pending.NotRun {
 		r.watch.m.Moves++
 	} else {
 		r.watch.m.Retries++
--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -12,7 +12,7 @@
 // Member is a candidate for a role.
 type Member = membership.Member
 
-// preference orders members before their weights do; lower is better.
+// preference ranks members ahead of their weights; lower is better.
 type preference uint8
 
 const (
@@ -38,7 +38,7 @@
 	return excluded
 }
 
-// candidate is a member as a Table keeps it.
+// candidate is a member prepared for ranking.
 type candidate struct {
 	id   fleet.InstanceID
 	hash uint64
@@ -53,8 +53,8 @@
 	return h ^ h>>31
 }
 
-// Owner returns the member that holds the role named by key. It is not ok if
-// there is no member.
+// Owner returns the member that holds the role named by key. ok is false if no
+// member is eligible.
 func Owner(key string, members []Member) (id fleet.InstanceID, ok bool) {
 	keyHash := xxhash.Sum64String(key)
 	best := candidate{pref: excluded}
@@ -72,8 +72,8 @@
 	return best.id, best.pref != excluded
 }
 
-// Ranked returns up to n members in the order in which they hold the role
-// named by key: the owner, its heir, and so on.
+// Ranked returns the first n members, or fewer, in the ranking for the role
+// named by key: the owner, its successor, and so on.
 func Ranked(key string, members []Member, n int) []fleet.InstanceID {
 	return NewTable(members).Ranked(key, n)
 }
@@ -82,7 +82,7 @@
 	return candidate{id: m.ID, hash: xxhash.Sum64String(string(m.ID)), pref: preferenceOf(*m)}
 }
 
-// before tells whether candidate c, of weight w, ranks before other.
+// before reports whether candidate c, of weight w, ranks before other.
 func (c candidate) before(w uint64, other candidate, otherWeight uint64) bool {
 	if c.pref != other.pref {
 		return c.pref < other.pref
@@ -93,15 +93,15 @@
 	return c.id < other.id
 }
 
-// Table holds the hashes of the members, for owners of many keys. It is
-// immutable.
+// Table holds the hashes of the members, to look up the owners of many keys. It
+// is immutable.
 type Table struct {
-	candidates []candidate // of the best preference present first
-	best       int         // how many share that preference
+	candidates []candidate // sorted by preference, best first
+	numBest    int         // number of candidates that share the best preference
 }
 
-// NewTable builds a table of members. Build it anew when the epoch of the view
-// changes.
+// NewTable builds a table of members. It must be rebuilt when the epoch of the
+// membership view changes.
 func NewTable(members []Member) *Table {
 	t := &Table{candidates: make([]candidate, 0, len(members))}
 	for i := range members {
@@ -110,21 +110,21 @@
 		}
 	}
 	slices.SortStableFunc(t.candidates, func(a, b candidate) int { return int(a.pref) - int(b.pref) })
-	for t.best < len(t.candidates) && t.candidates[t.best].pref == t.candidates[0].pref {
-		t.best++
+	for t.numBest < len(t.candidates) && t.candidates[t.numBest].pref == t.candidates[0].pref {
+		t.numBest++
 	}
 	return t
 }
 
-// Owner returns the member that holds the role named by key.
+// Owner is like the function Owner, for the members of the table.
 func (t *Table) Owner(key string) (id fleet.InstanceID, ok bool) {
-	if t.best == 0 {
+	if t.numBest == 0 {
 		return "", false
 	}
 	keyHash := xxhash.Sum64String(key)
 	best := &t.candidates[0]
 	bestWeight := weight(keyHash, best.hash)
-	for i := 1; i < t.best; i++ {
+	for i := 1; i < t.numBest; i++ {
 		c := &t.candidates[i]
 		w := weight(keyHash, c.hash)
 		if w > bestWeight || w == bestWeight && c.id < best.id {
@@ -134,11 +134,11 @@
 	return best.id, true
 }
 
-// Ranked returns up to n members in the order in which they hold the role.
+// Ranked is like the function Ranked, for the members of the table.
 func (t *Table) Ranked(key string, n int) []fleet.InstanceID {
 	keyHash := xxhash.Sum64String(key)
 	n = min(n, len(t.candidates))
-	first := make([]*candidate, 0, n+1) // the first n so far, in order
+	first := make([]*candidate, 0, n+1) // the best n so far, in order
 	for i := range t.candidates {
 		c := &t.candidates[i]
 		at := len(first)
--- a/rendezvous/rendezvous_test.go
+++ b/rendezvous/rendezvous_test.go
@@ -12,7 +12,7 @@
 	"github.com/clementinereel/clementinereel/membership"
 )
 
-func fleetOf(count int) []Member {
+func readyMembers(count int) []Member {
 	members := make([]Member, count)
 	for i := range members {
 		members[i] = Member{ID: fleet.InstanceID(fmt.Sprintf("i%03d", i)), State: membership.Alive, Ready: true}
@@ -23,7 +23,7 @@
 func TestNoOwnerWithoutMembers(t *testing.T) {
 	_, ok := Owner("k", nil)
 	assert.Assert(t, !ok)
-	dead := fleetOf(1)
+	dead := readyMembers(1)
 	dead[0].State = membership.Dead
 	_, ok = Owner("k", dead)
 	assert.Assert(t, !ok)
@@ -34,25 +34,25 @@
 
 func TestPreference(t *testing.T) {
 	tests := map[string]struct {
-		spoil func(*Member)
-		next  func(*Member) // what the rest is, in order to be preferred or not
-		stays bool
+		degrade func(*Member)
+		others  func(*Member) // applied to the other members
+		stays   bool
 	}{
-		"suspect gives way":             {spoil: setState(membership.Suspect)},
-		"leaving gives way":             {spoil: setState(membership.Leaving)},
-		"not ready gives way":           {spoil: func(m *Member) { m.Ready = false }},
-		"suspect stays before leaving":  {setState(membership.Suspect), setState(membership.Leaving), true},
+		"suspect loses the role":        {degrade: setState(membership.Suspect)},
+		"leaving loses the role":        {degrade: setState(membership.Leaving)},
+		"not ready loses the role":      {degrade: func(m *Member) { m.Ready = false }},
+		"suspect ranks before leaving":  {setState(membership.Suspect), setState(membership.Leaving), true},
 		"all leaving keep their owners": {setState(membership.Leaving), setState(membership.Leaving), true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			members := fleetOf(8)
+			members := readyMembers(8)
 			owner, _ := Owner("k", members)
 			for i := range members {
 				if members[i].ID == owner {
-					tt.spoil(&members[i])
-				} else if tt.next != nil {
-					tt.next(&members[i])
+					tt.degrade(&members[i])
+				} else if tt.others != nil {
+					tt.others(&members[i])
 				}
 			}
 			now, ok := Owner("k", members)
@@ -66,10 +66,11 @@
 	return func(m *Member) { m.State = s }
 }
 
-// Owner, Table.Owner and Ranked agree, and the owner's heir follows it.
-func TestWaysAgree(t *testing.T) {
+// Owner, Table.Owner and Ranked must agree, and the second in rank must become
+// the owner when the owner dies.
+func TestOwnerAndRankedAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		members := fleetOf(rapid.IntRange(1, 30).Draw(t, "count"))
+		members := readyMembers(rapid.IntRange(1, 30).Draw(t, "count"))
 		for i := range members {
 			members[i].State = membership.State(rapid.IntRange(1, 4).Draw(t, "state"))
 			members[i].Ready = rapid.Bool().Draw(t, "ready")
@@ -79,7 +80,7 @@
 		fromTable, okTable := NewTable(members).Owner(key)
 		ranked := Ranked(key, members, len(members))
 		if ok != okTable || owner != fromTable || ok != (len(ranked) > 0) {
-			t.Fatalf("%q %v, table %q %v, ranked %v", owner, ok, fromTable, okTable, ranked)
+			t.Fatalf("Owner %q %v, Table.Owner %q %v, Ranked %v", owner, ok, fromTable, okTable, ranked)
 		}
 		if len(ranked) < 2 {
 			return
@@ -89,14 +90,14 @@
 				members[i].State = membership.Dead
 			}
 		}
-		if heir, _ := Owner(key, members); heir != ranked[1] || owner != ranked[0] {
-			t.Fatalf("heir %q, ranked %v", heir, ranked)
+		if successor, _ := Owner(key, members); successor != ranked[1] || owner != ranked[0] {
+			t.Fatalf("successor %q, ranked %v", successor, ranked)
 		}
 	})
 }
 
-func TestOnlyTheLostMembersKeysMove(t *testing.T) {
-	members := fleetOf(44)
+func TestOnlyKeysOfRemovedMemberMove(t *testing.T) {
+	members := readyMembers(44)
 	before, after := NewTable(members), NewTable(members[1:])
 	const keys = 20000
 	share := map[fleet.InstanceID]int{}
@@ -109,20 +110,20 @@
 			assert.Equal(t, was, is)
 		}
 	}
-	for _, m := range members { // five standard deviations
+	for _, m := range members { // mean 455, within five standard deviations
 		assert.Assert(t, share[m.ID] > 350 && share[m.ID] < 562, "%s owns %d", m.ID, share[m.ID])
 	}
 }
 
-func TestOwnerAllocatesNothing(t *testing.T) {
-	members := fleetOf(44)
+func TestOwnerDoesNotAllocate(t *testing.T) {
+	members := readyMembers(44)
 	table := NewTable(members)
 	assert.Equal(t, testing.AllocsPerRun(100, func() { Owner("some/key", members) }), 0.0)
 	assert.Equal(t, testing.AllocsPerRun(100, func() { table.Owner("some/key") }), 0.0)
 }
 
-func TestRankedIsAPrefixOfTheWholeOrder(t *testing.T) {
-	table := NewTable(fleetOf(44))
+func TestRankedIsPrefixOfFullOrder(t *testing.T) {
+	table := NewTable(readyMembers(44))
 	for i := range 200 {
 		key := strconv.Itoa(i)
 		all := table.Ranked(key, 44)
@@ -138,7 +139,7 @@
 
 func BenchmarkRanked(b *testing.B) {
 	for _, count := range []int{44, 920} {
-		table := NewTable(fleetOf(count))
+		table := NewTable(readyMembers(count))
 		b.Run(fmt.Sprintf("members=%d", count), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -150,7 +151,7 @@
 
 func BenchmarkOwner(b *testing.B) {
 	for _, count := range []int{44, 920} {
-		members := fleetOf(count)
+		members := readyMembers(count)
 		table := NewTable(members)
 		b.Run(fmt.Sprintf("members=%d/members", count), func(b *testing.B) {
 			b.ReportAllocs()
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -9,62 +9,68 @@
 )
 
 const (
-	// startCredit is what a budget holds at first, in tokens.
-	startCredit = 1
-	// savedFor is the time constant by which savings above one token decay.
-	savedFor = 10 * time.Second
-	// unrunPercent bounds tries after refusals that ran nothing, in percent
-	// of first tries.
-	unrunPercent = 20
-	// shedMemory is the time constant of the average of sheds.
-	shedMemory = 2 * time.Second
-	// overloadedAt is the share of tries shed from which on the service
-	// counts as overloaded, given overloadedMin tries in the average.
-	overloadedAt  = 0.15
-	overloadedMin = 5
-	// saturatedAt is the same for tries of requests that were shed.
-	saturatedAt = 0.3
+	// initialTokens is the number of tokens in each bucket of a new budget.
+	initialTokens = 1
+	// tokenDecayTime is the time constant with which tokens above the first
+	// decay.
+	tokenDecayTime = 10 * time.Second
+	// notRunPercent limits tries that follow a try the target did not run, in
+	// percent of first tries.
+	notRunPercent = 20
+	// shedAverageTime is the time constant of the moving average of the share of
+	// tries shed.
+	shedAverageTime = 2 * time.Second
+	// overloadedShedShare is the share of shed tries from which the service
+	// counts as overloaded, once the average covers minShedSamples tries.
+	overloadedShedShare = 0.15
+	minShedSamples      = 5
+	// saturatedShedShare is the share of shed tries from which shed requests are
+	// not tried again either.
+	saturatedShedShare = 0.3
 )
 
-// Budget bounds the extra tries of one service at one instance. It is safe
-// for concurrent use.
+// Budget limits the extra tries of one service at one instance. It is safe for
+// concurrent use.
 type Budget struct {
-	mu    sync.Mutex
-	at    time.Time
-	extra float64
-	unrun float64
-	tries float64
-	sheds float64
+	mu      sync.Mutex
+	updated time.Time
+	extra   float64 // tokens for retries and hedges
+	notRun  float64 // tokens for tries that follow tries the target did not run
+	tries   float64 // tries in the moving average
+	sheds   float64 // shed tries in the moving average
 }
 
-// State is a budget at one moment.
+// State is a snapshot of a Budget.
 type State struct {
-	// Tokens is how many retries and hedges may begin.
+	// Tokens is the number of retries and hedges that may begin.
 	Tokens float64
-	// UnrunTokens is how many tries may follow refusals that ran nothing.
-	UnrunTokens float64
-	// Overloaded tells that the service sheds too much for retries and
-	// hedges, Saturated that it is no use to try again what was shed.
+	// NotRunTokens is the number of tries that may follow tries the target did
+	// not run.
+	NotRunTokens float64
+	// Overloaded reports whether the service sheds too many tries to allow
+	// retries and hedges.
 	Overloaded bool
-	Saturated  bool
+	// Saturated reports whether the service sheds too many tries to allow
+	// another try of a shed request.
+	Saturated bool
 }
 
-// NewBudget returns a budget that holds the start credit.
+// NewBudget returns a budget that holds the initial tokens.
 func NewBudget(now time.Time) *Budget {
-	return &Budget{at: now, extra: startCredit, unrun: startCredit}
+	return &Budget{updated: now, extra: initialTokens, notRun: initialTokens}
 }
 
-// First records the first try of a request.
-func (b *Budget) First(now time.Time, p Policy) {
+// RecordFirstTry records the first try of a request.
+func (b *Budget) RecordFirstTry(now time.Time, p Policy) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
 	b.extra += float64(p.Percent) / 100
-	b.unrun += unrunPercent / 100.0
+	b.notRun += notRunPercent / 100.0
 }
 
-// Observe records the end of any try.
-func (b *Budget) Observe(now time.Time, r fleet.TryResult) {
+// RecordResult records the result of any try. Canceled tries are ignored.
+func (b *Budget) RecordResult(now time.Time, r fleet.TryResult) {
 	if r == fleet.TryCanceled {
 		return
 	}
@@ -77,57 +83,61 @@
 	}
 }
 
-// State returns what is left.
+// State returns the state of the budget at now.
 func (b *Budget) State(now time.Time) State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
 	return State{
-		Tokens:      b.extra,
-		UnrunTokens: b.unrun,
-		Overloaded:  b.shedding(overloadedAt),
-		Saturated:   b.shedding(saturatedAt),
+		Tokens:       b.extra,
+		NotRunTokens: b.notRun,
+		Overloaded:   b.shedding(overloadedShedShare),
+		Saturated:    b.shedding(saturatedShedShare),
 	}
 }
 
-// Spend takes the token of a decision whose try begins now. It tells false if
-// others were faster or the service became overloaded; no try may begin then.
+// Spend takes a token for the try of decision d, which begins now. It returns
+// false if no token is left, because other requests took them since the
+// decision, or if the service has become overloaded; the try must not begin
+// then.
 func (b *Budget) Spend(now time.Time, d Decision) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
 	tokens := &b.extra
-	if d.Unrun {
-		tokens = &b.unrun
+	if d.NotRun {
+		tokens = &b.notRun
 	}
-	if *tokens < 1 || d.Action == Stop || (!d.Unrun && b.shedding(overloadedAt)) {
+	if *tokens < 1 || d.Action == Stop || (!d.NotRun && b.shedding(overloadedShedShare)) {
 		return false
 	}
 	*tokens--
 	return true
 }
 
+// shedding reports whether at least the given share of recent tries was shed,
+// given at least minShedSamples of them.
 func (b *Budget) shedding(share float64) bool {
-	return b.tries >= overloadedMin && b.sheds >= share*b.tries
+	return b.tries >= minShedSamples && b.sheds >= share*b.tries
 }
 
-// advance lets savings and averages decay.
+// advance decays the tokens and the averages to now.
 func (b *Budget) advance(now time.Time) {
-	dt := now.Sub(b.at)
+	dt := now.Sub(b.updated)
 	if dt <= 0 {
 		return
 	}
-	b.at = now
-	kept := math.Exp(-dt.Seconds() / savedFor.Seconds())
-	b.extra = decayed(b.extra, kept)
-	b.unrun = decayed(b.unrun, kept)
-	kept = math.Exp(-dt.Seconds() / shedMemory.Seconds())
+	b.updated = now
+	kept := math.Exp(-dt.Seconds() / tokenDecayTime.Seconds())
+	b.extra = decayAboveOne(b.extra, kept)
+	b.notRun = decayAboveOne(b.notRun, kept)
+	kept = math.Exp(-dt.Seconds() / shedAverageTime.Seconds())
 	b.tries *= kept
 	b.sheds *= kept
 }
 
-// decayed keeps one token and a part of what is above it.
-func decayed(tokens, kept float64) float64 {
+// decayAboveOne multiplies the tokens above the first by kept.
+func decayAboveOne(tokens, kept float64) float64 {
 	if tokens <= 1 {
 		return tokens
 	}
--- a/retry/decide.go
+++ b/retry/decide.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// backoffBase is the greatest wait before the second try; it doubles
-	// with each further one up to backoffMax.
+	// backoffBase is the maximum wait before the second try. It doubles with
+	// each further try, up to backoffMax.
 	backoffBase = 20 * time.Millisecond
 	backoffMax  = 500 * time.Millisecond
 )
 
-// Action is what follows.
+// Action says whether a try is added, and of which kind.
 type Action uint8
 
 const (
 	// Stop means that no try is added.
 	Stop Action = iota + 1
-	// Retry means that a try follows the failed one.
+	// Retry means that a new try follows the failed one.
 	Retry
-	// Hedge means that a try joins the running one.
+	// Hedge means that a second try starts while the first still runs.
 	Hedge
 )
 
@@ -30,25 +30,25 @@
 type Reason uint8
 
 const (
-	// Answered: the last try needs no other.
+	// Answered: the last try did not fail.
 	Answered Reason = iota + 1
-	// Canceled: the caller or this instance gave up.
+	// Canceled: the caller or this instance canceled the request.
 	Canceled
-	// NotIdempotent: the target may have run a request that must not repeat.
+	// NotIdempotent: the target may have run a request that must not be repeated.
 	NotIdempotent
 	// BodyConsumed: the request's body can't be sent again.
 	BodyConsumed
-	// Exhausted: the route's attempts are used up.
+	// Exhausted: the attempts are used up, or another try still runs.
 	Exhausted
-	// Overloaded: the service sheds too much for extra tries.
+	// Overloaded: the service sheds too many tries to allow extra ones.
 	Overloaded
 	// NoTarget: no other target is available.
 	NoTarget
-	// TooLate: an answer is not to be expected before the deadline.
+	// TooLate: no response is expected before the deadline.
 	TooLate
 	// OverBudget: the service's budget is used up.
 	OverBudget
-	// NotAllowed: the route allows no such try.
+	// NotAllowed: the route does not allow hedging.
 	NotAllowed
 )
 
@@ -59,7 +59,7 @@
 	NotAllowed: "not-allowed",
 }
 
-// String returns the reason as logs and metrics write it.
+// String returns the name of the reason in logs and metrics.
 func (r Reason) String() string {
 	if r == 0 || int(r) >= len(reasonNames) {
 		return fmt.Sprintf("reason(%d)", uint8(r))
@@ -67,51 +67,52 @@
 	return reasonNames[r]
 }
 
-// Input is the state of one request.
+// Input is the state of one request, on which Decide bases its decision.
 type Input struct {
 	Now      time.Time
 	Deadline time.Time
 	Policy   Policy
-	// Tries counts the tries begun, the first included; it is at least 1.
+	// Tries is the number of tries begun, including the first; at least 1.
 	Tries int
-	// Last is how the last try ended; 0 while it runs.
+	// Last is the result of the last try; 0 while it runs.
 	Last fleet.TryResult
-	// Unsent tells that no byte of the last try left this instance.
+	// Unsent reports whether no byte of the last try was sent.
 	Unsent bool
-	// Running counts other tries that still run.
+	// Running is the number of other tries that still run.
 	Running int
-	// FirstTry is when the first try began.
+	// FirstTry is the start time of the first try.
 	FirstTry time.Time
-	// Expected is the latency to be expected of a further try.
+	// Expected is the expected latency of another try.
 	Expected time.Duration
-	// OtherTarget tells whether a target that was not tried is available.
+	// OtherTarget reports whether a target not yet tried is available.
 	OtherTarget bool
-	// RetryAfter is the wait that the last target asked for.
+	// RetryAfter is the wait that the last target requested.
 	RetryAfter time.Duration
-	// BodyConsumed tells that the request's body can't be sent again.
+	// BodyConsumed reports whether the request's body can't be sent again.
 	BodyConsumed bool
-	// Random is uniform in [0, 1).
+	// Random is a uniform random number in [0, 1).
 	Random float64
-	// Budget is the service's budget, see Budget.State.
+	// Budget is the state of the service's budget, from Budget.State.
 	Budget State
 }
 
-// Decision is what follows a try's end, or accompanies a running one.
+// Decision is the result of Decide: whether, when and on which budget a try is
+// added after a failed one or alongside a running one.
 type Decision struct {
 	Action Action
 	// After is the wait before a retry or hedge, from Input.Now.
 	After time.Duration
-	// Unrun tells that the retry is charged to the bound for requests that
-	// ran nowhere.
-	Unrun bool
-	// Reason is set for Stop.
+	// NotRun reports whether the retry is charged to the bucket for tries that
+	// the target did not run (State.NotRunTokens).
+	NotRun bool
+	// Reason is set only if Action is Stop.
 	Reason Reason
 }
 
 func stop(r Reason) Decision { return Decision{Action: Stop, Reason: r} }
 
-// Decide says whether a try is added. A Retry or Hedge may begin only after
-// Budget.Spend has taken the decision, when its wait is over.
+// Decide decides whether a try is added. A Retry or Hedge may begin only if
+// Budget.Spend returns true for the decision once its wait is over.
 func Decide(in Input) Decision {
 	if in.Last == 0 {
 		return decideHedge(&in)
@@ -119,14 +120,15 @@
 	switch {
 	case in.Last == fleet.TryCanceled:
 		return stop(Canceled)
-	case in.Unsent || in.Last.RefusedUnrun():
-		return decideUnrun(&in)
+	case in.Unsent || in.Last.NotRun():
+		return decideNotRun(&in)
 	case !in.Last.Failed():
 		return stop(Answered)
 	}
 	return decideRetry(&in)
 }
 
+// decideRetry decides after a failed try that the target may have run.
 func decideRetry(in *Input) Decision {
 	switch {
 	case in.Policy.Class != fleet.Lookup:
@@ -136,14 +138,14 @@
 	case in.Tries >= in.Policy.Attempts:
 		return stop(Exhausted)
 	case in.Running > 0:
-		// The other try is the retry.
+		// The other try serves as the retry.
 		return stop(Exhausted)
 	case in.Budget.Overloaded:
 		return stop(Overloaded)
 	}
 	after := backoff(in)
 	switch {
-	case !in.fits(after):
+	case !in.fitsDeadline(after):
 		return stop(TooLate)
 	case in.Budget.Tokens < 1:
 		return stop(OverBudget)
@@ -151,12 +153,12 @@
 	return Decision{Action: Retry, After: after}
 }
 
-// decideUnrun decides after a try that ran nothing.
-func decideUnrun(in *Input) Decision {
+// decideNotRun decides after a try that the target did not run.
+func decideNotRun(in *Input) Decision {
 	switch {
 	case in.BodyConsumed:
 		return stop(BodyConsumed)
-	case in.Tries >= max(unrunAttempts, in.Policy.Attempts):
+	case in.Tries >= max(notRunAttempts, in.Policy.Attempts):
 		return stop(Exhausted)
 	case in.Running > 0:
 		return stop(Exhausted)
@@ -170,14 +172,15 @@
 		after = backoff(in)
 	}
 	switch {
-	case !in.fits(after):
+	case !in.fitsDeadline(after):
 		return stop(TooLate)
-	case in.Budget.UnrunTokens < 1:
+	case in.Budget.NotRunTokens < 1:
 		return stop(OverBudget)
 	}
-	return Decision{Action: Retry, After: after, Unrun: true}
+	return Decision{Action: Retry, After: after, NotRun: true}
 }
 
+// decideHedge decides on a hedge while the last try runs.
 func decideHedge(in *Input) Decision {
 	switch {
 	case in.Policy.HedgeAfter == 0 || in.Policy.Class != fleet.Lookup:
@@ -193,7 +196,7 @@
 	}
 	after := max(0, in.FirstTry.Add(in.Policy.HedgeAfter).Sub(in.Now))
 	switch {
-	case !in.fits(after):
+	case !in.fitsDeadline(after):
 		return stop(TooLate)
 	case in.Budget.Tokens < 1:
 		return stop(OverBudget)
@@ -201,13 +204,14 @@
 	return Decision{Action: Hedge, After: after}
 }
 
-// fits tells whether an answer is to be expected before the deadline.
-func (in *Input) fits(after time.Duration) bool {
+// fitsDeadline reports whether a try that begins after the given wait is
+// expected to end before the deadline.
+func (in *Input) fitsDeadline(after time.Duration) bool {
 	return !in.Now.Add(after + in.Expected).After(in.Deadline)
 }
 
-// backoff is the wait before the next try. Another target is waited for by
-// jitter alone; the same one for at least as long as it asked.
+// backoff returns the wait before the next try: exponential backoff with full
+// jitter and, if only the same target is left, at least its RetryAfter.
 func backoff(in *Input) time.Duration {
 	top := min(backoffMax, backoffBase<<min(in.Tries-1, 10))
 	wait := time.Duration(in.Random * float64(top))
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -7,22 +7,23 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// unrunAttempts bounds the tries of one request whose tries before ran
-// nothing, for all classes.
-const unrunAttempts = 3
+// notRunAttempts limits the tries of a request, of any class, whose earlier tries
+// the target did not run. A higher limit in the policy takes precedence.
+const notRunAttempts = 3
 
-// Policy is what a route allows.
+// Policy says which extra tries a route allows.
 type Policy struct {
 	Class fleet.Class
-	// Attempts bounds the tries of one request, the first included.
+	// Attempts limits the tries of one request, including the first.
 	Attempts int
-	// Percent bounds retries and hedges in percent of first tries.
+	// Percent limits retries and hedges, in percent of first tries.
 	Percent int
-	// HedgeAfter is when a hedge may start; 0 means never.
+	// HedgeAfter is the time from the start of the first try after which a
+	// hedge may start; 0 disables hedging.
 	HedgeAfter time.Duration
 }
 
-// PolicyOf returns the policy of a route with its defaults filled in.
+// PolicyOf returns the policy of a route with defaults filled in.
 func PolicyOf(r *contract.Route) Policy {
 	p := Policy{Class: r.Class, Attempts: 1}
 	if r.Class != fleet.Lookup {
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -26,7 +26,7 @@
 		Now: epoch, Deadline: epoch.Add(time.Second), FirstTry: epoch,
 		Policy: lookupPolicy(), Tries: 1, Last: fleet.TryTimeout,
 		Expected: 20 * time.Millisecond, OtherTarget: true, Random: 0.5,
-		Budget: State{Tokens: 1, UnrunTokens: 1},
+		Budget: State{Tokens: 1, NotRunTokens: 1},
 	}
 }
 
@@ -50,13 +50,13 @@
 		{"budget", func(in *Input) { in.Budget.Tokens = 0.9 }, stop(OverBudget)},
 		{"failed confirmation", func(in *Input) { in.Policy = confirmation }, stop(NotIdempotent)},
 		{"reset confirmation", func(in *Input) { in.Policy, in.Last = confirmation, fleet.TryReset }, stop(NotIdempotent)},
-		{"unsent confirmation", func(in *Input) { in.Policy, in.Unsent = confirmation, true }, Decision{Action: Retry, Unrun: true}},
-		{"draining confirmation", func(in *Input) { in.Policy, in.Last = confirmation, fleet.TryDraining }, Decision{Action: Retry, Unrun: true}},
+		{"unsent confirmation", func(in *Input) { in.Policy, in.Unsent = confirmation, true }, Decision{Action: Retry, NotRun: true}},
+		{"draining confirmation", func(in *Input) { in.Policy, in.Last = confirmation, fleet.TryDraining }, Decision{Action: Retry, NotRun: true}},
 		{"consumed upload", func(in *Input) { in.Last, in.BodyConsumed = fleet.TryShed, true }, stop(BodyConsumed)},
 		{"shed when saturated", func(in *Input) { in.Last, in.Budget.Saturated = fleet.TryShed, true }, stop(Overloaded)},
-		{"cold when overloaded", func(in *Input) { in.Last, in.Budget.Overloaded = fleet.TryCold, true }, Decision{Action: Retry, Unrun: true}},
-		{"unrun, no other target", func(in *Input) { in.Last, in.OtherTarget = fleet.TryCold, false }, stop(NoTarget)},
-		{"unrun budget", func(in *Input) { in.Last, in.Budget.UnrunTokens = fleet.TryCold, 0 }, stop(OverBudget)},
+		{"cold when overloaded", func(in *Input) { in.Last, in.Budget.Overloaded = fleet.TryCold, true }, Decision{Action: Retry, NotRun: true}},
+		{"not run, no other target", func(in *Input) { in.Last, in.OtherTarget = fleet.TryCold, false }, stop(NoTarget)},
+		{"not-run budget", func(in *Input) { in.Last, in.Budget.NotRunTokens = fleet.TryCold, 0 }, stop(OverBudget)},
 		{"hedge", func(in *Input) { in.Last, in.Now = 0, epoch.Add(30*time.Millisecond) }, Decision{Action: Hedge, After: 20 * time.Millisecond}},
 		{"hedge, no other target", func(in *Input) { in.Last, in.OtherTarget = 0, false }, stop(NoTarget)},
 		{"hedge of a confirmation", func(in *Input) { in.Last, in.Policy = 0, confirmation }, stop(NotAllowed)},
@@ -71,8 +71,9 @@
 	}
 }
 
-// TestRetryStorm has 44 instances, one with 30 % of the traffic, and targets
-// of which every second answer fails.
+// TestRetryStorm checks that the budgets limit extra tries to the bound given in
+// the package documentation when every second response of the targets fails. It
+// simulates 44 instances, one of which gets 30 % of the traffic.
 func TestRetryStorm(t *testing.T) {
 	const n, perSecond, span = 44, 200, 60
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -88,26 +89,27 @@
 			i = 1 + rng.IntN(n-1)
 		}
 		firsts++
-		extra += storm(now, rng, budgets[i])
+		extra += simulateRequest(now, rng, budgets[i])
 	}
-	bound := firsts/10 + n*startCredit
+	bound := firsts/10 + n*initialTokens
 	assert.Assert(t, extra <= bound, "%d extra, %d allowed", extra, bound)
 	assert.Assert(t, extra >= firsts*9/100, "%d extra of %d: the budget should be used", extra, firsts)
 	t.Logf("%d first tries, %d extra: %.1f %%", firsts, extra, 100*float64(extra)/float64(firsts))
 }
 
-// storm plays one request and returns its extra tries.
-func storm(now time.Time, rng *rand.Rand, b *Budget) int {
+// simulateRequest simulates one request and returns the number of its extra
+// tries.
+func simulateRequest(now time.Time, rng *rand.Rand, b *Budget) int {
 	in := input()
 	in.Now, in.Deadline, in.FirstTry = now, now.Add(time.Second), now
-	b.First(now, in.Policy)
+	b.RecordFirstTry(now, in.Policy)
 	for {
 		if rng.IntN(2) == 0 {
 			in.Last = fleet.TryOK
 		} else {
 			in.Last = fleet.TryError
 		}
-		b.Observe(now, in.Last)
+		b.RecordResult(now, in.Last)
 		in.Budget = b.State(now)
 		d := Decide(in)
 		if d.Action == Stop || !b.Spend(now, d) {
@@ -117,25 +119,25 @@
 	}
 }
 
-func TestSavingsDecayToOneToken(t *testing.T) {
+func TestTokensDecayToOne(t *testing.T) {
 	b := NewBudget(epoch)
 	for range 1000 {
-		b.First(epoch, lookupPolicy())
+		b.RecordFirstTry(epoch, lookupPolicy())
 	}
 	assert.Assert(t, b.State(epoch).Tokens > 100)
 	left := b.State(epoch.Add(time.Minute)).Tokens
 	assert.Assert(t, left >= 1 && left < 1.5, "%f", left)
 }
 
-func TestOverloadedServiceGetsNoExtraTries(t *testing.T) {
+func TestNoExtraTriesWhenOverloaded(t *testing.T) {
 	b := NewBudget(epoch)
 	for i := range 50 {
-		b.First(epoch, lookupPolicy())
+		b.RecordFirstTry(epoch, lookupPolicy())
 		r := fleet.TryOK
 		if i%4 == 0 {
 			r = fleet.TryShed
 		}
-		b.Observe(epoch, r)
+		b.RecordResult(epoch, r)
 	}
 	assert.Assert(t, b.State(epoch).Overloaded)
 	assert.Assert(t, !b.Spend(epoch, Decision{Action: Retry}))
@@ -148,7 +150,7 @@
 	in := input()
 	b.ReportAllocs()
 	for b.Loop() {
-		budget.First(epoch, in.Policy)
+		budget.RecordFirstTry(epoch, in.Policy)
 		in.Budget = budget.State(epoch)
 		budget.Spend(epoch, Decide(in))
 	}
--- a/upstream/service.go
+++ b/upstream/service.go
@@ -133,7 +133,7 @@
 	res := Try(ctx, s.pool.RoundTripper(pick.Target), s.via, pick.Target, req)
 	s.health.Done(watch, res.Try, res.Latency)
 	s.Gate(class).Observe(res.Try, res.Latency)
-	s.budget.Observe(time.Now(), res.Try)
+	s.budget.RecordResult(time.Now(), res.Try)
 	pick.Done(balancer.DoneInfo{Result: res.Try, Latency: res.Latency, RetryAfter: res.RetryAfter})
 	return res
 }
--- a/upstream/try.go
+++ b/upstream/try.go
@@ -70,7 +70,7 @@
 const maxRetryAfter = 5 * time.Minute
 
 // Unrun tells whether the target certainly did not run the request.
-func (r *Result) Unrun() bool { return !r.Sent || r.Try.RefusedUnrun() }
+func (r *Result) Unrun() bool { return !r.Sent || r.Try.NotRun() }
 
 // Via names this instance to targets.
 type Via struct {
