--- a/balancer/assign.go
+++ b/balancer/assign.go
@@ -9,31 +9,33 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// Assignment is what one instance may use of one target.
+// Assignment is the part of one target's capacity that one instance may use.
 type Assignment struct {
 	Target fleet.Target
-	// Connections is the instance's share of the target's connections; 0
-	// when the target isn't in the instance's subset.
+	// Connections is the instance's share of the target's connections; 0 when
+	// the target isn't in the instance's subset.
 	Connections int
-	// Home is how many of the target's slots are the instance's own.
-	Home int
+	// HomeSlots is the number of the target's slots that are assigned to the
+	// instance, its home slots.
+	HomeSlots int
 }
 
 // Assign divides the targets' connections and slots among the members and
-// returns self's part, sorted by zone and then by the hash of the ID. Only
-// joined targets count. It depends on announced facts alone, never on
-// weights, so that instances with the same lists divide alike.
+// returns the part of the members' own instance, sorted by zone and then by
+// the hash of the ID. Only joined targets count. The result depends only on
+// announced targets and members, never on weights, so that instances with
+// equal lists compute the same division.
 //
-// The bound: with equal member lists, the shares of a target over all
-// instances add up to at most Connections less the margin.
+// With equal member lists, the shares of a target over all instances add up
+// to at most Connections less the margin.
 func Assign(cfg Config, ts []fleet.Target, members Members) []Assignment {
-	as := joined(ts)
+	as := joinedTargets(ts)
 	assignConnections(cfg, as, members.v)
-	assignHomes(cfg, as, members.v)
+	assignHomeSlots(cfg, as, members.v)
 	return as
 }
 
-func joined(ts []fleet.Target) []Assignment {
+func joinedTargets(ts []fleet.Target) []Assignment {
 	as := make([]Assignment, 0, len(ts))
 	for _, t := range ts {
 		if t.State == fleet.Joined {
@@ -51,7 +53,7 @@
 
 func assignConnections(cfg Config, as []Assignment, v *memberView) {
 	budget := int(float64(cfg.Connections) * (1 - cfg.Margin))
-	instances := max(len(v.hashed), cfg.Instances)
+	instances := max(len(v.byHash), cfg.MinInstances)
 	if each := budget / instances; each > 0 {
 		for i := range as {
 			as[i].Connections = min(each, cfg.Slots)
@@ -70,21 +72,22 @@
 }
 
 // assignWindows gives one connection to each target whose window covers self.
-// A window holds a fixed number of consecutive ranks. Towards the instances of
-// their own zone, the windows of a zone's targets start evenly spaced; towards
-// all others, so do the windows of all targets, the zones taking turns. Both
-// the instances of a target and the targets of an instance are thus spread
-// evenly, and an instance's targets elsewhere are in different zones.
+// A window is a fixed number of consecutive ranks of instances. For instances
+// in the zone of the targets, the windows of that zone's targets start evenly
+// spaced; for all others, the windows of all targets do, interleaved by zone.
+// This spreads both the instances of a target and the targets of an instance
+// evenly, and puts an instance's targets outside its own zone into different
+// zones.
 func assignWindows(budget int, as []Assignment, v *memberView) {
-	turn := turns(as)
+	positions := interleavedPositions(as)
 	for lo := 0; lo < len(as); {
 		hi := zoneEnd(as, lo)
 		z := as[lo].Target.Zone
 		g := v.groupFor(z)
 		inside := v.self.Zone == z
-		width := windowWidth(budget, hi-lo, v.perZone[z], len(v.hashed), inside)
+		width := windowWidth(budget, hi-lo, v.perZone[z], len(v.byHash), inside)
 		for i := lo; i < hi; i++ {
-			start := turn[i] * g.size / len(as)
+			start := positions[i] * g.size / len(as)
 			if inside {
 				start = (i - lo) * g.size / (hi - lo)
 			}
@@ -96,27 +99,30 @@
 	}
 }
 
-// turns returns each target's place when the zones take turns.
-func turns(as []Assignment) []int {
+// interleavedPositions returns the position of each target in an order that
+// takes the targets of the zones in rotation.
+func interleavedPositions(as []Assignment) []int {
 	order := make([]int, len(as))
-	within := make([]int, len(as))
+	rankInZone := make([]int, len(as))
 	for i := range as {
 		order[i] = i
 		if i > 0 && as[i].Target.Zone == as[i-1].Target.Zone {
-			within[i] = within[i-1] + 1
+			rankInZone[i] = rankInZone[i-1] + 1
 		}
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(within[a], within[b]) })
-	places := make([]int, len(as))
-	for place, i := range order {
-		places[i] = place
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(rankInZone[a], rankInZone[b]) })
+	positions := make([]int, len(as))
+	for position, i := range order {
+		positions[i] = position
 	}
-	return places
+	return positions
 }
 
-// windowWidth splits a target's connections: half to the instances of its own
-// zone, more if it takes more for each of them to reach a target there, and
-// the rest to all others; what one side can't use goes to the other.
+// windowWidth returns the number of instances on self's side of the zone
+// border that connect to a target of the zone. Half of a target's connections
+// go to the instances of its own zone, more if that is needed for each of
+// them to reach a target there, and the rest to all others. Connections that
+// one side can't use go to the other.
 func windowWidth(budget, targets, inZone, total int, inside bool) int {
 	each := (inZone + targets - 1) / targets
 	own := min(inZone, budget, max(budget/2, each))
@@ -127,28 +133,29 @@
 	return others
 }
 
-// assignHomes lays the slots out over the instances, both in zone order, and
-// gives self the slots at its place; with fewer slots than instances, several
-// instances share one. Neighbouring places are slots of different targets.
-func assignHomes(cfg Config, as []Assignment, v *memberView) {
+// assignHomeSlots lays out all slots over the instances, both in zone order,
+// and gives self the slots at its position. With fewer slots than instances,
+// several instances share a slot. Adjacent positions are slots of different
+// targets.
+func assignHomeSlots(cfg Config, as []Assignment, v *memberView) {
 	slots := len(as) * cfg.Slots
 	if slots == 0 {
 		return
 	}
-	n := len(v.hashed)
+	n := len(v.byHash)
 	lo := v.rankByZone * slots / n
 	hi := max((v.rankByZone+1)*slots/n, lo+1)
 	for lo < hi {
-		first := targetAt(as, lo/cfg.Slots)
+		first := firstInZone(as, lo/cfg.Slots)
 		zone := as[first:zoneEnd(as, first)]
 		k := (lo - first*cfg.Slots) % len(zone)
-		zone[k].Home++
+		zone[k].HomeSlots++
 		lo++
 	}
 }
 
-// targetAt returns the first target in the zone of target i.
-func targetAt(as []Assignment, i int) int {
+// firstInZone returns the index of the first target in the zone of target i.
+func firstInZone(as []Assignment, i int) int {
 	for i > 0 && as[i-1].Target.Zone == as[i].Target.Zone {
 		i--
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -9,32 +9,33 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// Balancer owns what one instance knows of the load on one service's targets.
-// Update is called by one goroutine at a time; Picker by any.
+// Balancer holds one instance's load state for the targets of one service.
+// Update must not be called concurrently with itself; Picker is safe for
+// concurrent use.
 type Balancer struct {
-	cfg    Config
-	seed   uint64
-	policy policy.Policy
-	picker atomic.Pointer[Picker]
-	number atomic.Uint64
+	cfg          Config
+	seed         uint64
+	policy       policy.Policy
+	picker       atomic.Pointer[Picker]
+	requestCount atomic.Uint64
 
 	loads   map[fleet.TargetID]*policy.Load
 	targets []fleet.Target
 	members Members
-	// assigned is the division for targets and members; it is replaced, never
-	// changed, since Pickers share it.
+	// assigned is the division for targets and members. It is replaced, never
+	// modified, since Pickers share it.
 	assigned []Assignment
 	weights  []float64
 }
 
-// New returns a Balancer whose Picker holds no target yet. The config passes
-// Check; a wrong one panics.
+// New returns a Balancer whose Picker has no targets yet. It panics if cfg
+// fails Check.
 func New(cfg Config, seed uint64) *Balancer {
 	if err := cfg.Check(); err != nil {
 		panic("balancer: " + err.Error())
 	}
 	b := &Balancer{cfg: cfg.withDefaults(), seed: seed, loads: make(map[fleet.TargetID]*policy.Load)}
-	b.policy = policyNamed(b.cfg.Policy)
+	b.policy = policyByName(b.cfg.Policy)
 	b.picker.Store(&Picker{b: b})
 	return b
 }
@@ -44,19 +45,21 @@
 
 // Update rebuilds the Picker if anything changed since the last call.
 //
-// ts are the service's announced targets. weight is 0 for a target that is
-// not to be chosen, below 1 for one on trial or in slow start, else 1.
+// ts are the service's announced targets. weight returns 0 for a target that
+// must not be chosen, a value below 1 for a target on trial or in slow start,
+// and 1 otherwise.
 func (b *Balancer) Update(now time.Time, ts []fleet.Target, weight func(fleet.TargetID) float64, members Members) {
-	divided := b.divide(ts, members)
-	if !b.weigh(weight) && !divided {
+	reassigned := b.reassign(ts, members)
+	if !b.updateWeights(weight) && !reassigned {
 		return
 	}
-	b.forget(now)
+	b.evictLoads(now)
 	b.publish()
 }
 
-// divide redoes the division if targets or members changed.
-func (b *Balancer) divide(ts []fleet.Target, members Members) bool {
+// reassign recomputes the assignments if targets or members changed, and
+// reports whether they did.
+func (b *Balancer) reassign(ts []fleet.Target, members Members) bool {
 	if b.members == members && slices.Equal(b.targets, ts) {
 		return false
 	}
@@ -66,8 +69,8 @@
 	return true
 }
 
-// weigh reads the weights and tells whether one changed.
-func (b *Balancer) weigh(weight func(fleet.TargetID) float64) bool {
+// updateWeights stores the current weights and reports whether one changed.
+func (b *Balancer) updateWeights(weight func(fleet.TargetID) float64) bool {
 	changed := len(b.weights) != len(b.assigned)
 	b.weights = slices.Grow(b.weights[:0], len(b.assigned))[:len(b.assigned)]
 	for i, a := range b.assigned {
@@ -78,30 +81,32 @@
 	return changed
 }
 
-// forget drops the counters of targets that are gone and idle.
-func (b *Balancer) forget(now time.Time) {
-	known := make(map[fleet.TargetID]bool, len(b.targets))
+// evictLoads removes the load state of targets that are no longer announced,
+// have no requests in flight and aren't backed off.
+func (b *Balancer) evictLoads(now time.Time) {
+	announced := make(map[fleet.TargetID]bool, len(b.targets))
 	for _, t := range b.targets {
-		known[t.ID] = true
+		announced[t.ID] = true
 	}
 	for id, l := range b.loads {
-		if !known[id] && l.InFlight() == 0 && !l.BackedOff(now.UnixNano()) {
+		if !announced[id] && l.InFlight() == 0 && !l.BackedOff(now.UnixNano()) {
 			delete(b.loads, id)
 		}
 	}
 }
 
 func (b *Balancer) publish() {
-	cs, spare := b.candidates()
+	cs, outsideSubset := b.candidates()
 	local := b.localFirst(cs)
 	set := policy.NewSet(cs, local, b.localShare(cs, local))
-	b.picker.Store(&Picker{b: b, set: set, spare: spare, assigned: b.assigned})
+	b.picker.Store(&Picker{b: b, set: set, outsideSubset: outsideSubset, assigned: b.assigned})
 }
 
-// candidates returns the targets of the subset that may be chosen. If there
-// is none, the instance may use any other target of the service by a single
-// connection out of the margin; spare says so.
-func (b *Balancer) candidates() (cs []policy.Candidate, spare bool) {
+// candidates returns the eligible targets of the subset. If there is none, it
+// returns all eligible targets of the service with outsideSubset set; the
+// instance may use each of them over a single connection, taken from the
+// margin.
+func (b *Balancer) candidates() (cs []policy.Candidate, outsideSubset bool) {
 	cs = b.collect(func(a Assignment) int { return a.Connections })
 	if len(cs) > 0 {
 		return cs, false
@@ -118,19 +123,20 @@
 			continue
 		}
 		cs = append(cs, policy.Candidate{
-			Target: a.Target, Weight: b.weights[i], Home: home(a, b.weights[i], n), Limit: n, Load: b.load(a.Target.ID),
+			Target: a.Target, Weight: b.weights[i], HomeSlots: usableHomeSlots(a, b.weights[i], n), Limit: n, Load: b.load(a.Target.ID),
 		})
 	}
 	return cs
 }
 
-// home is how many home slots of a target are used. A target on trial or in
-// slow start has none: it gets its work by weight alone.
-func home(a Assignment, weight float64, limit int) int {
+// usableHomeSlots returns the number of home slots in use at a target. A
+// target on trial or in slow start has none: it receives requests by weight
+// alone.
+func usableHomeSlots(a Assignment, weight float64, limit int) int {
 	if weight < 1 {
 		return 0
 	}
-	return min(a.Home, limit)
+	return min(a.HomeSlots, limit)
 }
 
 func (b *Balancer) load(id fleet.TargetID) *policy.Load {
@@ -142,8 +148,8 @@
 	return l
 }
 
-// localFirst moves the candidates of the own zone to the front and returns
-// how many there are.
+// localFirst moves the candidates of the instance's own zone to the front and
+// returns their number.
 func (b *Balancer) localFirst(cs []policy.Candidate) int {
 	zone := b.members.v.self.Zone
 	slices.SortStableFunc(cs, func(x, y policy.Candidate) int {
@@ -156,20 +162,21 @@
 	return local
 }
 
-// localShare is how much of this instance's work its own zone can carry: the
-// zone's share of the service's weight over its share of the instances.
+// localShare returns the fraction of this instance's requests that its own
+// zone can serve: the zone's share of the service's weight divided by its
+// share of the instances.
 func (b *Balancer) localShare(cs []policy.Candidate, local int) float64 {
 	if local == 0 {
 		return 0
 	}
-	zone, total := b.zoneWeight()
+	zone, total := b.weightTotals()
 	instances := float64(b.members.v.perZone[b.members.v.self.Zone]) / float64(b.members.Len())
 	return min(1, zone/total/instances)
 }
 
-// zoneWeight sums the weights of the service's targets, in the own zone and
-// in all.
-func (b *Balancer) zoneWeight() (zone, total float64) {
+// weightTotals returns the sums of the weights of the service's targets, in
+// the instance's own zone and in all zones.
+func (b *Balancer) weightTotals() (zone, total float64) {
 	for i, a := range b.assigned {
 		total += b.weights[i]
 		if a.Target.Zone == b.members.v.self.Zone {
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -19,18 +19,19 @@
 
 var t0 = time.Unix(1000, 0)
 
-func small() Config { return FromContract(contract.Service{Slots: 4, Connections: 300}) }
+func smallConfig() Config { return FromContract(contract.Service{Slots: 4, Connections: 300}) }
 
 func newBalancer(cfg Config, targets, instances int) *Balancer {
 	b := New(cfg, 1)
 	ms := fakeMembers(instances)
-	b.Update(t0, fakeTargets(targets), full, NewMembers(ms[0], ms))
+	b.Update(t0, fakeTargets(targets), fullWeight, NewMembers(ms[0], ms))
 	return b
 }
 
-// shares sums each target's connections over the instances, and each
-// instance's targets, as the given member lists have it.
-func shares(cfg Config, ts []fleet.Target, ms []Member, view func(i int) []Member) (byTarget map[fleet.TargetID]int, reach []int) {
+// sumShares returns each target's connections summed over the instances, and
+// the number of targets that each instance reaches, with the member lists
+// returned by view.
+func sumShares(cfg Config, ts []fleet.Target, ms []Member, view func(i int) []Member) (byTarget map[fleet.TargetID]int, reach []int) {
 	byTarget = make(map[fleet.TargetID]int)
 	for i := range ms {
 		n := 0
@@ -48,7 +49,7 @@
 		cfg := FromContract(contract.Service{Slots: rapid.IntRange(1, 4).Draw(t, "slots"), Connections: rapid.IntRange(20, 400).Draw(t, "connections")})
 		ts := fakeTargets(rapid.IntRange(1, 30).Draw(t, "targets"))
 		ms := fakeMembers(rapid.IntRange(1, 150).Draw(t, "instances"))
-		byTarget, _ := shares(cfg, ts, ms, func(int) []Member { return ms })
+		byTarget, _ := sumShares(cfg, ts, ms, func(int) []Member { return ms })
 		for id, n := range byTarget {
 			assert.Assert(t, float64(n) <= float64(cfg.Connections)*(1-cfg.Margin), "%s: %d of %d", id, n, cfg.Connections)
 		}
@@ -66,60 +67,60 @@
 	}
 	for _, c := range cases {
 		ts, ms, rng := fakeTargets(c.targets), fakeMembers(920), rand.New(rand.NewPCG(1, 2))
-		byTarget, reach := shares(small(), ts, ms, func(int) []Member {
+		byTarget, reach := sumShares(smallConfig(), ts, ms, func(int) []Member {
 			return slices.DeleteFunc(slices.Clone(ms), func(Member) bool { return rng.Float64() < c.missing })
 		})
-		most := slices.Max(slices.Collect(maps.Values(byTarget)))
+		maxConns := slices.Max(slices.Collect(maps.Values(byTarget)))
 		t.Logf("%d targets, each list misses %.0f%%: at most %d connections at a target, %d to %d targets an instance",
-			c.targets, c.missing*100, most, slices.Min(reach), slices.Max(reach))
-		assert.Assert(t, most <= 300 || c.missing > .15)
+			c.targets, c.missing*100, maxConns, slices.Min(reach), slices.Max(reach))
+		assert.Assert(t, maxConns <= 300 || c.missing > .15)
 		assert.Assert(t, slices.Min(reach) >= 1)
 	}
 }
 
-// With six zones at fleet size, an instance whose zone is lost still reaches
-// targets in others.
+// With six zones at fleet size, an instance whose own zone is lost must still
+// reach targets in other zones.
 func TestEveryInstanceReachesOtherZones(t *testing.T) {
-	six := func(i int) fleet.Zone { return fleet.Zone(fmt.Sprint("zone-", i%6)) }
+	zoneOfSix := func(i int) fleet.Zone { return fleet.Zone(fmt.Sprint("zone-", i%6)) }
 	ts, ms := fakeTargets(29), fakeMembers(920)
 	for i := range ts {
-		ts[i].Zone = six(i)
+		ts[i].Zone = zoneOfSix(i)
 	}
 	for i := range ms {
-		ms[i].Zone = six(i)
+		ms[i].Zone = zoneOfSix(i)
 	}
-	fewest := len(ts)
+	minTargets := len(ts)
 	for _, m := range ms {
 		n := 0
-		for _, a := range Assign(small(), ts, NewMembers(m, ms)) {
+		for _, a := range Assign(smallConfig(), ts, NewMembers(m, ms)) {
 			n += btoi(a.Connections > 0 && a.Target.Zone != m.Zone)
 		}
-		fewest = min(fewest, n)
+		minTargets = min(minTargets, n)
 	}
-	t.Logf("at least %d targets in other zones", fewest)
-	assert.Assert(t, fewest >= 2)
+	t.Logf("at least %d targets in other zones", minTargets)
+	assert.Assert(t, minTargets >= 2)
 }
 
-// A new member moves few connections: places shift by one rank at most.
-func TestOneMoreInstanceMovesLittle(t *testing.T) {
+// A new member must move few connections: it shifts ranks by at most one.
+func TestAddedInstanceMovesFewConnections(t *testing.T) {
 	ts, ms := fakeTargets(29), fakeMembers(921)
-	moved, all := 0, 0
+	moved, total := 0, 0
 	for _, m := range ms[:100] {
-		before, after := Assign(small(), ts, NewMembers(m, ms[:920])), Assign(small(), ts, NewMembers(m, ms))
+		before, after := Assign(smallConfig(), ts, NewMembers(m, ms[:920])), Assign(smallConfig(), ts, NewMembers(m, ms))
 		for i := range before {
-			all += after[i].Connections
+			total += after[i].Connections
 			if after[i].Connections > before[i].Connections {
 				moved++
 			}
 		}
 	}
-	t.Logf("%d of %d connections are new after one instance more", moved, all)
-	assert.Assert(t, moved < all/100)
+	t.Logf("%d of %d connections are new after adding one instance", moved, total)
+	assert.Assert(t, moved < total/100)
 }
 
-func TestPickKeepsTheRules(t *testing.T) {
+func TestPickSkipsExcludedTargets(t *testing.T) {
 	for _, name := range []string{"slot_share", "least_load", "random", "round_robin"} {
-		cfg := small()
+		cfg := smallConfig()
 		cfg.Policy = name
 		b := New(cfg, 1)
 		ts := fakeTargets(6)
@@ -145,7 +146,7 @@
 }
 
 func TestInFlightSurvivesARebuildAndIsBounded(t *testing.T) {
-	b := newBalancer(small(), 1, 44)
+	b := newBalancer(smallConfig(), 1, 44)
 	var picks []Pick
 	for range 4 {
 		p, _ := b.Picker().Pick(PickInfo{Now: t0})
@@ -161,26 +162,26 @@
 	assert.Assert(t, ok)
 }
 
-func TestShedTargetIsLeftAloneButNotForever(t *testing.T) {
-	b := newBalancer(small(), 2, 1)
+func TestShedTargetBacksOffForAtMostMaxBackOff(t *testing.T) {
+	b := newBalancer(smallConfig(), 2, 1)
 	p, _ := b.Picker().Pick(PickInfo{Now: t0})
 	p.Done(DoneInfo{Result: fleet.TryShed, RetryAfter: time.Hour})
 	other := 0
-	for range 7 { // both home slots of the other target, and then some
+	for range 7 { // the 4 places at the other target, then 3 at the backed-off one
 		q, ok := b.Picker().Pick(PickInfo{Now: t0})
 		assert.Assert(t, ok)
 		if q.Target.ID != p.Target.ID {
 			other++
 		}
 	}
-	assert.Equal(t, other, 4, "the full one only when the other is at its limit")
+	assert.Equal(t, other, 4, "the backed-off target must be chosen only when the other is at its limit")
 	load := b.loads[p.Target.ID]
 	assert.Assert(t, load.BackedOff(t0.Add(DefaultMaxBackOff-1).UnixNano()))
 	assert.Assert(t, !load.BackedOff(t0.Add(DefaultMaxBackOff).UnixNano()))
 }
 
-func TestTrialWeightsAreKept(t *testing.T) {
-	b := New(small(), 1)
+func TestTrialWeightLimitsShareOfRequests(t *testing.T) {
+	b := New(smallConfig(), 1)
 	ms := fakeMembers(3)
 	b.Update(t0, fakeTargets(3), func(id fleet.TargetID) float64 {
 		if id == "t0" {
@@ -199,27 +200,27 @@
 	assert.Assert(t, n > 100 && n < 2000, "%d of 10000", n)
 }
 
-func TestSpareWhenTheSubsetIsGone(t *testing.T) {
+func TestPickOutsideSubsetWhenNoneIsEligible(t *testing.T) {
 	ts, ms := fakeTargets(29), fakeMembers(920)
 	members := NewMembers(ms[0], ms)
-	mine := map[fleet.TargetID]bool{}
-	for _, a := range Assign(small(), ts, members) {
-		mine[a.Target.ID] = a.Connections > 0
+	inSubset := map[fleet.TargetID]bool{}
+	for _, a := range Assign(smallConfig(), ts, members) {
+		inSubset[a.Target.ID] = a.Connections > 0
 	}
-	b := New(small(), 1)
-	b.Update(t0, ts, func(id fleet.TargetID) float64 { return float64(btoi(!mine[id])) }, members)
+	b := New(smallConfig(), 1)
+	b.Update(t0, ts, func(id fleet.TargetID) float64 { return float64(btoi(!inSubset[id])) }, members)
 	p, ok := b.Picker().Pick(PickInfo{Now: t0})
-	assert.Assert(t, ok && p.Spare)
+	assert.Assert(t, ok && p.OutsideSubset)
 	kept := 0
 	b.Picker().Connections(func(x fleet.Target, n int) {
 		kept++
-		assert.Assert(t, mine[x.ID] && n == 1)
+		assert.Assert(t, inSubset[x.ID] && n == 1)
 	})
-	assert.Assert(t, kept >= 5, "ejected targets keep their connections")
+	assert.Assert(t, kept >= 5, "ejected targets must keep their connections")
 }
 
-func TestPickAndUpdateAtOnce(t *testing.T) {
-	b := newBalancer(small(), 10, 44)
+func TestConcurrentPickAndUpdate(t *testing.T) {
+	b := newBalancer(smallConfig(), 10, 44)
 	members := b.members
 	var wg sync.WaitGroup
 	for range 8 {
@@ -240,8 +241,8 @@
 	}
 }
 
-func TestSearchEndsWithPatience(t *testing.T) {
-	b := newBalancer(small(), 10, 44)
+func TestSearchEndsAtTimeout(t *testing.T) {
+	b := newBalancer(smallConfig(), 10, 44)
 	var s Search
 	waited, tries := time.Duration(0), 0
 	for {
@@ -270,8 +271,8 @@
 		ts, ms := fakeTargets(n), fakeMembers(44)
 		members := NewMembers(ms[0], ms)
 		before := heapInUse()
-		bal := New(small(), 1)
-		bal.Update(t0, ts, full, members)
+		bal := New(smallConfig(), 1)
+		bal.Update(t0, ts, fullWeight, members)
 		perTarget := float64(heapInUse()-before) / float64(n)
 		b.Run(fmt.Sprint(n, "-targets"), func(b *testing.B) {
 			b.ReportAllocs()
@@ -294,7 +295,7 @@
 func BenchmarkUpdate(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		for _, kind := range []string{"unchanged", "weight", "member"} {
-			bal, ts := newBalancer(small(), n, 920), fakeTargets(n)
+			bal, ts := newBalancer(smallConfig(), n, 920), fakeTargets(n)
 			b.Run(fmt.Sprint(n, "-targets/", kind), func(b *testing.B) {
 				b.ReportAllocs()
 				w := 1.0
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -1,12 +1,12 @@
 // Package balancer chooses the target for each request of one service at one
 // instance.
 //
-// # The model
+// # Model
 //
 // Targets are small: 2 to 4 slots and a few hundred connections, shared by
-// every instance of the fleet. One instance sees a fortieth of the traffic or
-// less, so what it has in flight itself says little about how full a target
-// is. The package therefore combines four things:
+// every instance of the fleet. One instance handles a fortieth of the traffic
+// or less, so its own in-flight count says little about the load of a target.
+// The package therefore combines four mechanisms:
 //
 //   - A bounded subset. Each target's connections are divided among the
 //     instances (Assign). While there are enough connections, every instance
@@ -14,20 +14,20 @@
 //     them, partly in its own zone and partly elsewhere. The sum over all
 //     instances stays within the contract's connections_per_target.
 //   - Home slots. The service's slots are laid out over the instances in zone
-//     order. An instance uses its own slots first, so that instances collide
-//     less often than independent random choices would.
-//   - The target's own word. A target that sheds a request is left alone by
-//     this instance for a while; it isn't called sick for it.
-//   - Two random choices among the rest, by weight, preferring the own zone
-//     in proportion to the targets that stand there.
+//     order. An instance uses its home slots first, so that instances collide
+//     less often than with independent random choices.
+//   - Back-off. After a target sheds a request, this instance avoids the
+//     target for a while, but doesn't count it as unhealthy.
+//   - Two random choices among the other targets, by weight, preferring the
+//     instance's own zone in proportion to the targets in it.
 //
-// A Balancer owns the state of one service: in-flight counters and back-offs
+// A Balancer holds the state of one service: in-flight counters and back-offs
 // by target. Update rebuilds an immutable Picker from announced targets,
-// their weights and the member list; Pick and Done run on the request path,
-// without locks or allocation, and never wait for Update. Nothing here reads
-// a clock or opens a socket: times are passed in, randomness comes from the
-// seed.
+// their weights and the member list. Pick and Done run on the request path
+// without locks or allocation, and never wait for Update. The package reads no
+// clock and opens no socket: times are passed in, and random numbers are
+// derived from the seed.
 //
-// The policies stand in directories of their own (random, roundrobin,
-// leastload, slotshare) behind the interface in package policy.
+// The policies are in separate packages (random, roundrobin, leastload,
+// slotshare) and implement the interface of package policy.
 package balancer
--- a/balancer/leastload/doc.go
+++ b/balancer/leastload/doc.go
@@ -1,5 +1,5 @@
 // Package leastload draws two candidates by weight and takes the one with
-// fewer requests in flight from this instance. It prefers the own zone in
-// proportion to the targets that stand there, and leaves it when its targets
-// are full or backed off from.
+// fewer requests in flight from this instance. It prefers the instance's own
+// zone in proportion to the targets in it, and uses other zones when the
+// zone's targets are full or backed off.
 package leastload
--- a/balancer/leastload/leastload.go
+++ b/balancer/leastload/leastload.go
@@ -8,7 +8,7 @@
 // Policy implements policy.Policy.
 type Policy struct{}
 
-// Numbers of the request's random draws.
+// Indexes of the request's random numbers, for Request.Rand.
 const (
 	drawZone = iota + 16
 	drawFirst
@@ -16,25 +16,25 @@
 	drawScan
 )
 
-// Choose looks in the own zone first for LocalShare of the requests, and
-// elsewhere when nothing there is usable. A request that was already turned
-// away by a target looks everywhere.
+// Choose searches the instance's own zone first for a fraction LocalShare of
+// the requests, and all zones when no target there is usable. A request that
+// a target has already rejected searches all zones.
 func (Policy) Choose(r policy.Request) int {
-	if r.Set.Local > 0 && r.Tried.Len() == 0 && r.Rand(drawZone) < r.Set.LocalShare {
-		if i := best(r, r.Set.Own()); i != policy.None {
+	if r.Set.LocalCount > 0 && r.Tried.Len() == 0 && r.Rand(drawZone) < r.Set.LocalShare {
+		if i := chooseIn(r, r.Set.LocalSpan()); i != policy.None {
 			return i
 		}
 	}
-	return best(r, r.Set.All())
+	return chooseIn(r, r.Set.All())
 }
 
-func best(r policy.Request, in policy.Span) int {
+func chooseIn(r policy.Request, in policy.Span) int {
 	a := r.Set.Draw(in, r.Rand(drawFirst))
 	b := r.Set.Draw(in, r.Rand(drawSecond))
 	usableA, usableB := r.Usable(a), r.Usable(b)
 	switch {
 	case usableA && usableB:
-		return lighter(r.Set, a, b)
+		return lessLoaded(r.Set, a, b)
 	case usableA:
 		return a
 	case usableB:
@@ -43,7 +43,7 @@
 	return r.Scan(in, r.Rand(drawScan))
 }
 
-func lighter(s *policy.Set, a, b int) int {
+func lessLoaded(s *policy.Set, a, b int) int {
 	if s.Candidates[b].Load.InFlight() < s.Candidates[a].Load.InFlight() {
 		return b
 	}
--- a/balancer/members.go
+++ b/balancer/members.go
@@ -15,45 +15,49 @@
 	Zone fleet.Zone
 }
 
-// Members is an immutable list of the live instances as one of them sees it.
-// It is built once for each change and shared by the balancers of all
-// services; two Members are equal only if they come from one NewMembers.
+// Members is an immutable list of the live instances from the view of one of
+// them. It is built once for each change and shared by the balancers of all
+// services; two Members are equal only if they come from the same call of
+// NewMembers.
 type Members struct {
 	v *memberView
 }
 
 type memberView struct {
 	self Member
-	// hashed is in the order of the hash of the IDs, so that neighbours in it
-	// have nothing in common.
-	hashed []Member
-	// perZone counts the members of each zone.
+	// byHash is sorted by the hash of the IDs, so that neighbors are
+	// unrelated.
+	byHash []Member
+	// perZone is the number of members by zone.
 	perZone map[fleet.Zone]int
-	// rankByZone is self's place when the members are sorted by zone first.
+	// rankByZone is self's rank when the members are sorted by zone, then by
+	// hash.
 	rankByZone int
-	// groups are self's groups as seen from each zone with members.
+	// groups is self's group relative to each zone that has members.
 	groups map[fleet.Zone]group
 }
 
-// NewMembers builds the list. Self is added if the list lacks it.
+// NewMembers returns the Members of the instance self. Self is added if all
+// lacks it.
 func NewMembers(self Member, all []Member) Members {
 	v := &memberView{self: self, perZone: make(map[fleet.Zone]int), groups: make(map[fleet.Zone]group)}
-	v.hashed = distinct(append(slices.Clone(all), self))
-	for _, m := range v.hashed {
+	v.byHash = uniqueByHash(append(slices.Clone(all), self))
+	for _, m := range v.byHash {
 		v.perZone[m.Zone]++
 	}
 	for z := range v.perZone {
-		v.groups[z] = v.countGroup(z)
+		v.groups[z] = v.computeGroup(z)
 	}
-	v.rankByZone = rankByZone(v.hashed, self)
+	v.rankByZone = rankByZone(v.byHash, self)
 	return Members{v}
 }
 
-// Len is the number of instances in the list.
-func (m Members) Len() int { return len(m.v.hashed) }
+// Len returns the number of instances in the list.
+func (m Members) Len() int { return len(m.v.byHash) }
 
-// distinct returns the members by the hash of their IDs, each once.
-func distinct(ms []Member) []Member {
+// uniqueByHash sorts ms by the hash of their IDs and removes duplicates. It
+// reorders ms in place.
+func uniqueByHash(ms []Member) []Member {
 	type keyed struct {
 		hash uint64
 		Member
@@ -78,7 +82,7 @@
 	rank := 0
 	for i, m := range hashed {
 		if m.ID == self.ID {
-			return rank + countFrom(hashed[i:], self.Zone)
+			return rank + countBeforeZone(hashed[i:], self.Zone)
 		}
 		if m.Zone <= self.Zone {
 			rank++
@@ -87,8 +91,8 @@
 	return rank
 }
 
-// countFrom counts the members whose zone sorts before z.
-func countFrom(ms []Member, z fleet.Zone) int {
+// countBeforeZone returns the number of members whose zone sorts before z.
+func countBeforeZone(ms []Member, z fleet.Zone) int {
 	n := 0
 	for _, m := range ms {
 		if m.Zone < z {
@@ -98,30 +102,30 @@
 	return n
 }
 
-// group is the members on one side of a zone's border: those inside the zone
-// or those outside of it.
+// group is the set of members on the same side of a zone's border as self:
+// those inside the zone or those outside.
 type group struct {
 	// size is the number of members in the group.
 	size int
-	// rank is self's place in it, in hash order.
+	// rank is self's rank in the group, in hash order.
 	rank int
 }
 
-// groupFor returns the group that self belongs to as seen from a zone.
+// groupFor returns the group of self relative to zone z.
 func (v *memberView) groupFor(z fleet.Zone) group {
 	if g, ok := v.groups[z]; ok {
 		return g
 	}
-	return v.countGroup(z)
+	return v.computeGroup(z)
 }
 
-func (v *memberView) countGroup(z fleet.Zone) group {
+func (v *memberView) computeGroup(z fleet.Zone) group {
 	inside := v.self.Zone == z
 	g := group{size: v.perZone[z]}
 	if !inside {
-		g.size = len(v.hashed) - g.size
+		g.size = len(v.byHash) - g.size
 	}
-	for _, m := range v.hashed {
+	for _, m := range v.byHash {
 		if m.ID == v.self.ID {
 			break
 		}
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -7,23 +7,24 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// Tried are the targets that one request has been at already.
+// Tried is the set of targets that a request has already tried.
 type Tried = policy.Tried
 
-// Picker is an immutable snapshot of the targets that may be chosen. It is
-// safe for concurrent use. Each request should take the newest one.
+// Picker is an immutable snapshot of the eligible targets. It is safe for
+// concurrent use. Each request should use the newest one.
 type Picker struct {
-	b        *Balancer
-	set      policy.Set
-	spare    bool
-	assigned []Assignment
+	b             *Balancer
+	set           policy.Set
+	outsideSubset bool
+	assigned      []Assignment
 }
 
-// PickInfo describes the request that needs a target.
+// PickInfo describes a request that needs a target.
 type PickInfo struct {
 	// Tried are the targets that must not be chosen again.
 	Tried Tried
-	// Class is the class of the request. No policy tells classes apart yet.
+	// Class is the class of the request. Policies don't distinguish classes
+	// yet.
 	Class fleet.Class
 	Now   time.Time
 }
@@ -31,43 +32,44 @@
 // Pick is a chosen target. Done must be called exactly once.
 type Pick struct {
 	Target fleet.Target
-	// Spare tells that the target is outside the instance's subset: the
-	// connection comes out of the margin and must be closed after use.
-	Spare bool
+	// OutsideSubset reports whether the target is outside the instance's
+	// subset. Its connection is taken from the margin and must be closed
+	// after use.
+	OutsideSubset bool
 
-	b    *Balancer
-	load *policy.Load
-	at   int64
+	b        *Balancer
+	load     *policy.Load
+	pickedAt int64
 }
 
-// DoneInfo tells how a try ended.
+// DoneInfo describes the result of a try.
 type DoneInfo struct {
 	Result fleet.TryResult
-	// Latency is from the Pick to the end of the try.
+	// Latency is the time from the Pick to the end of the try.
 	Latency time.Duration
-	// RetryAfter is what the target asked for with a shed, cold or draining
-	// reply; 0 if it named none.
+	// RetryAfter is the value that the target sent with a shed, cold or
+	// draining response; 0 if it sent none.
 	RetryAfter time.Duration
 }
 
-// acquireTries bounds how often Pick chooses again when other requests took
-// the last place between choosing and acquiring.
-const acquireTries = 4
+// maxAcquireAttempts bounds how often Pick chooses again when concurrent
+// requests take the last place of the chosen target before it is acquired.
+const maxAcquireAttempts = 4
 
-// Pick chooses a target. It returns false when every target is excluded, gone
-// or at the instance's limit.
+// Pick chooses a target. It returns false when every target is excluded,
+// removed or at the instance's limit.
 func (p *Picker) Pick(info PickInfo) (Pick, bool) {
 	if len(p.set.Candidates) == 0 {
 		return Pick{}, false
 	}
-	for range acquireTries {
+	for range maxAcquireAttempts {
 		i := p.choose(info)
 		if i == policy.None {
 			return Pick{}, false
 		}
 		c := &p.set.Candidates[i]
 		if c.Load.Acquire(c.Limit) {
-			return Pick{Target: c.Target, Spare: p.spare, b: p.b, load: c.Load, at: info.Now.UnixNano()}, true
+			return Pick{Target: c.Target, OutsideSubset: p.outsideSubset, b: p.b, load: c.Load, pickedAt: info.Now.UnixNano()}, true
 		}
 	}
 	return Pick{}, false
@@ -76,21 +78,22 @@
 func (p *Picker) choose(info PickInfo) int {
 	r := policy.Request{
 		Set: &p.set, Now: info.Now.UnixNano(), Tried: info.Tried,
-		Seed: p.b.seed, Number: p.b.number.Add(1),
+		Seed: p.b.seed, Number: p.b.requestCount.Add(1),
 	}
 	if i := p.b.policy.Choose(r); i != policy.None {
 		return i
 	}
-	return r.LeastBackedOff()
+	return r.SoonestAvailable()
 }
 
-// Len is how many targets may be chosen.
+// Len returns the number of eligible targets.
 func (p *Picker) Len() int { return len(p.set.Candidates) }
 
-// Connections calls f with each target of the instance's subset and its share
-// of the target's connections; a connection pool takes its limits from it. A
-// target that is not to be chosen for now is among them: it keeps its
-// connections, so that a verdict or its end costs none.
+// Connections calls f with each target of the instance's subset and the
+// instance's share of its connections, from which a connection pool takes its
+// limits. Targets that must not be chosen for now are included: they keep
+// their connections, so that ejecting and readmitting a target doesn't close
+// any.
 func (p *Picker) Connections(f func(t fleet.Target, connections int)) {
 	for _, a := range p.assigned {
 		if a.Connections > 0 {
@@ -99,8 +102,8 @@
 	}
 }
 
-// SameConnections tells whether two Pickers of one Balancer give the same
-// connections, so that a pool needn't be told again.
+// SameConnections reports whether p and q, of the same Balancer, have the
+// same connections, so that a pool needs no update.
 func (p *Picker) SameConnections(q *Picker) bool {
 	if len(p.assigned) == 0 || len(q.assigned) == 0 {
 		return len(p.assigned) == len(q.assigned)
@@ -108,23 +111,23 @@
 	return &p.assigned[0] == &q.assigned[0]
 }
 
-// Done reports how the try ended and frees its place.
+// Done records the result of the try and releases its place at the target.
 func (p Pick) Done(d DoneInfo) {
 	if wait := p.b.cfg.backOff(d); wait > 0 {
-		p.load.BackOff(p.at+int64(d.Latency), wait)
+		p.load.BackOff(p.pickedAt+int64(d.Latency), wait)
 	}
 	p.load.Release()
 }
 
-// backOff is how long a result asks to leave the target alone. A failure asks
-// for nothing: judging it is the work of outlier detection.
+// backOff returns the back-off that a result requires, or 0. Failures require
+// none: they are handled by outlier detection.
 func (c Config) backOff(d DoneInfo) time.Duration {
-	asked := min(d.RetryAfter, c.MaxBackOff)
+	retryAfter := min(d.RetryAfter, c.MaxBackOff)
 	switch d.Result {
 	case fleet.TryShed:
-		return orDefault(asked, c.ShedBackOff)
+		return orDefault(retryAfter, c.ShedBackOff)
 	case fleet.TryCold:
-		return orDefault(asked, c.ColdBackOff)
+		return orDefault(retryAfter, c.ColdBackOff)
 	case fleet.TryDraining:
 		return c.DrainBackOff
 	}
--- a/balancer/policy/load.go
+++ b/balancer/policy/load.go
@@ -7,18 +7,21 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// Load is what one instance knows of one target's load. It is safe for
-// concurrent use and outlives the snapshots that point to it.
+// Load is one instance's load state of one target. It is safe for concurrent
+// use and outlives the snapshots that point to it.
 type Load struct {
 	inFlight atomic.Int32
-	// until is when the back-off ends, in nanoseconds since the Unix epoch.
-	until atomic.Int64
+	// backOffEnd is the end of the back-off, in nanoseconds since the Unix
+	// epoch.
+	backOffEnd atomic.Int64
 }
 
-// InFlight is how many requests of this instance the target is serving.
+// InFlight returns the number of this instance's requests in flight at the
+// target.
 func (l *Load) InFlight() int { return int(l.inFlight.Load()) }
 
-// Acquire counts a request in, unless limit are in flight already.
+// Acquire adds a request in flight. It returns false if limit requests are in
+// flight already.
 func (l *Load) Acquire(limit int) bool {
 	for {
 		n := l.inFlight.Load()
@@ -31,42 +34,45 @@
 	}
 }
 
-// Release counts a request out.
+// Release removes a request that Acquire added.
 func (l *Load) Release() {
 	if l.inFlight.Add(-1) < 0 {
-		panic("policy: a request was released twice")
+		panic("policy: Release called without a matching Acquire")
 	}
 }
 
-// BackOff leaves the target alone from now on for d. A later end that is
-// already set stays.
+// BackOff excludes the target for d from now, in nanoseconds since the Unix
+// epoch. It never shortens a back-off.
 func (l *Load) BackOff(now int64, d time.Duration) {
 	end := now + int64(d)
 	for {
-		old := l.until.Load()
-		if old >= end || l.until.CompareAndSwap(old, end) {
+		old := l.backOffEnd.Load()
+		if old >= end || l.backOffEnd.CompareAndSwap(old, end) {
 			return
 		}
 	}
 }
 
-// BackedOff tells whether the target is to be left alone at now.
-func (l *Load) BackedOff(now int64) bool { return l.until.Load() > now }
+// BackedOff reports whether the target is backed off at now, in nanoseconds
+// since the Unix epoch.
+func (l *Load) BackedOff(now int64) bool { return l.backOffEnd.Load() > now }
 
-// Until is when the back-off ends, in nanoseconds since the Unix epoch.
-func (l *Load) Until() int64 { return l.until.Load() }
+// BackOffEnd returns the end of the back-off, in nanoseconds since the Unix
+// epoch.
+func (l *Load) BackOffEnd() int64 { return l.backOffEnd.Load() }
 
-// MaxTried bounds the targets that one request may exclude.
+// MaxTried is the maximum number of targets that one request may exclude.
 const MaxTried = 8
 
-// Tried are the targets that one request has been at. The zero value is
-// empty. It is a value: passing it allocates nothing.
+// Tried is the set of targets that one request has tried. The zero value is
+// empty. It is passed by value, without allocation.
 type Tried struct {
 	ids [MaxTried]fleet.TargetID
 	n   int
 }
 
-// Add notes a target. It returns false when MaxTried are noted already.
+// Add adds a target. It returns false if the set already holds MaxTried
+// targets.
 func (t *Tried) Add(id fleet.TargetID) bool {
 	if t.n == MaxTried {
 		return false
@@ -76,10 +82,10 @@
 	return true
 }
 
-// Len is how many targets are noted.
+// Len returns the number of targets in the set.
 func (t *Tried) Len() int { return t.n }
 
-// Has tells whether the target is noted.
+// Has reports whether the set contains the target.
 func (t *Tried) Has(id fleet.TargetID) bool {
 	for i := range t.n {
 		if t.ids[i] == id {
--- a/balancer/random/doc.go
+++ b/balancer/random/doc.go
@@ -1,3 +1,3 @@
-// Package random chooses targets at random by weight. It is the baseline that
-// other policies are measured against.
+// Package random chooses targets at random by weight. It is a baseline for
+// the evaluation of other policies.
 package random
--- a/balancer/random/random.go
+++ b/balancer/random/random.go
@@ -8,12 +8,14 @@
 // Policy implements policy.Policy.
 type Policy struct{}
 
-const draws = 4
+// maxDraws bounds the draws by weight before Choose scans for a usable
+// candidate.
+const maxDraws = 4
 
 // Choose draws among all candidates.
 func (Policy) Choose(r policy.Request) int {
 	all := r.Set.All()
-	for k := uint64(1); k <= draws; k++ {
+	for k := uint64(1); k <= maxDraws; k++ {
 		if i := r.Set.Draw(all, r.Rand(k)); r.Usable(i) {
 			return i
 		}
--- a/balancer/roundrobin/doc.go
+++ b/balancer/roundrobin/doc.go
@@ -1,3 +1,4 @@
-// Package roundrobin takes the targets in turn. It is the baseline that other
-// policies are measured against; it gives targets on trial their full turn.
+// Package roundrobin chooses targets in rotation. It is a baseline for the
+// evaluation of other policies. It ignores weights: targets on trial receive
+// a full share of the requests.
 package roundrobin
--- a/balancer/roundrobin/roundrobin.go
+++ b/balancer/roundrobin/roundrobin.go
@@ -8,8 +8,8 @@
 // Policy implements policy.Policy.
 type Policy struct{}
 
-// Choose takes the candidate whose turn it is, or the next usable one. The
-// seed sets where an instance begins.
+// Choose returns the next candidate in rotation, or the first usable one
+// after it. The seed determines the start position of an instance.
 func (Policy) Choose(r policy.Request) int {
 	n := uint64(len(r.Set.Candidates))
 	for k := range n {
--- a/balancer/slotshare/doc.go
+++ b/balancer/slotshare/doc.go
@@ -1,7 +1,8 @@
-// Package slotshare uses the instance's own share of the service's slots
-// first, and falls back on leastload when the share is in use.
+// Package slotshare uses the instance's home slots first, its share of the
+// service's slots, and falls back to leastload when they are in use.
 //
-// An instance that keeps at most its home slots busy at a target makes the
-// number of requests there a sum of a few bounded counts; independent random
-// choices of as many instances vary more, and collide more often.
+// If every instance keeps at most its home slots busy at a target, the number
+// of requests at the target is a sum of a few bounded counts. With
+// independent random choices by the same number of instances, that number
+// varies more and requests collide more often.
 package slotshare
--- a/balancer/slotshare/slotshare.go
+++ b/balancer/slotshare/slotshare.go
@@ -10,18 +10,19 @@
 
 // Policy implements policy.Policy.
 type Policy struct {
-	rest leastload.Policy
+	fallback leastload.Policy
 }
 
-// Choose takes a home target with a free home slot, or lets leastload choose.
+// Choose returns a target with a free home slot, or the choice of leastload
+// if there is none.
 func (p Policy) Choose(r policy.Request) int {
 	homes := r.Set.Homes
 	for k := range homes {
 		i := homes[(int(r.Number)+k)%len(homes)]
 		c := &r.Set.Candidates[i]
-		if c.Load.InFlight() < c.Home && r.Usable(i) {
+		if c.Load.InFlight() < c.HomeSlots && r.Usable(i) {
 			return i
 		}
 	}
-	return p.rest.Choose(r)
+	return p.fallback.Choose(r)
 }
