--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -12,8 +12,9 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// full returns a gate for one slot that a request of 10 ms occupies.
-func full(t *testing.T) *Gate {
+// fullGate returns a gate of one slot with one request in flight and an
+// expected latency of 10 ms.
+func fullGate(t *testing.T) *Gate {
 	t.Helper()
 	g := NewGate()
 	g.SetCapacity(1, 1)
@@ -27,12 +28,12 @@
 	return d
 }
 
-func TestOverloadedServiceStaysBusy(t *testing.T) {
+func TestThroughputUnderOverload(t *testing.T) {
 	for _, c := range []struct {
-		name              string
-		slots             int
-		queues            bool
-		load, least, high float64
+		name                   string
+		slots                  int
+		queues                 bool
+		load, minDone, minHigh float64
 	}{
 		{"targets shed, within capacity", 40, false, 0.9, 0.97, 0.97},
 		{"targets shed, 10 % over", 24, false, 1.1, 0.93, 0.88},
@@ -49,17 +50,17 @@
 		s.run(3*time.Second, c.load*s.capacity())
 		s.reset()
 		s.run(5*time.Second, c.load*s.capacity())
-		due := min(float64(s.offered), s.capacity()*5)
-		got := float64(s.done) / due
+		expected := min(float64(s.offered), s.capacity()*5)
+		got := float64(s.done) / expected
 		high := float64(s.done-s.doneLow) / float64(s.offered-s.offeredLow)
-		t.Logf("%s, %d slots: %.3f of what is due, %.3f of the valuable half", c.name, c.slots, got, high)
-		assert.Assert(t, got >= c.least && high >= c.high)
+		t.Logf("%s, %d slots: %.3f of the expected requests, %.3f of those of high value", c.name, c.slots, got, high)
+		assert.Assert(t, got >= c.minDone && high >= c.minHigh)
 	}
 }
 
-func TestLeastValuableIsShedFirst(t *testing.T) {
-	g := full(t)
-	cheap := enter(g, 10)
+func TestLowestValueIsShedFirst(t *testing.T) {
+	g := fullGate(t)
+	lowest := enter(g, 10)
 	for range minQueue - 1 {
 		assert.Equal(t, enter(g, 50).Verdict, Queued)
 	}
@@ -70,7 +71,7 @@
 	d, events := g.Enter(testEpoch, 90, testEpoch.Add(time.Second))
 	assert.Equal(t, d.Verdict, Queued)
 	assert.Equal(t, len(events), 1)
-	assert.Equal(t, events[0].Ticket, cheap.Ticket)
+	assert.Equal(t, events[0].Ticket, lowest.Ticket)
 	assert.Equal(t, events[0].Verdict, ShedFull)
 
 	events = g.Leave(testEpoch)
@@ -78,8 +79,8 @@
 	assert.Equal(t, events[0], Event{Ticket: d.Ticket, Verdict: Admitted})
 }
 
-func TestWhatCannotFinishIsRefusedAtOnce(t *testing.T) {
-	g := full(t)
+func TestLateRequestIsRefused(t *testing.T) {
+	g := fullGate(t)
 	d, _ := g.Enter(testEpoch, 50, testEpoch.Add(15*time.Millisecond))
 	assert.Equal(t, d.Verdict, ShedLate)
 
@@ -91,14 +92,14 @@
 	assert.Equal(t, events[0].Verdict, ShedLate)
 }
 
-func TestIdleGateAdmitsWhateverWasMeasured(t *testing.T) {
+func TestIdleGateAdmitsAtAnyLatency(t *testing.T) {
 	g := NewGate()
 	g.Observe(testEpoch, fleet.TryOK, time.Hour)
 	assert.Equal(t, enter(g, 50).Verdict, Admitted)
 }
 
 func TestAbandon(t *testing.T) {
-	g := full(t)
+	g := fullGate(t)
 	d := enter(g, 50)
 	assert.Assert(t, g.Abandon(d.Ticket))
 	assert.Assert(t, !g.Abandon(d.Ticket))
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -10,27 +10,31 @@
 )
 
 const (
-	// queueFactor is the length of the queue as a multiple of the limit.
+	// queueFactor is the maximum queue length as a multiple of the limit;
+	// minQueue is its lower bound.
 	queueFactor = 2
 	minQueue    = 4
-	// minRetryAfter and maxRetryAfter bound what refused callers are told.
+	// minRetryAfter and maxRetryAfter bound the retry delay sent to refused
+	// callers.
 	minRetryAfter = 250 * time.Millisecond
 	maxRetryAfter = 10 * time.Second
-	// goldenRatio spreads the retry times of callers refused in a row.
+	// goldenRatio spreads the retry delays of consecutive refused callers.
 	goldenRatio = 0.6180339887
 )
 
-// Verdict is what a gate says to a request.
+// Verdict is the outcome of a request at a gate.
 type Verdict uint8
 
 const (
-	// Admitted requests may start; Leave must follow.
+	// Admitted requests may start; the caller must call Leave at their end.
 	Admitted Verdict = iota + 1
 	// Queued requests wait for an Event with their ticket.
 	Queued
-	// ShedFull: the gate is full of requests at least as valuable.
+	// ShedFull requests are refused because the queue is full of requests of
+	// at least their value.
 	ShedFull
-	// ShedLate: the request can't finish within its deadline.
+	// ShedLate requests are refused because they can't finish by their
+	// deadline.
 	ShedLate
 )
 
@@ -38,7 +42,7 @@
 	Admitted: "admitted", Queued: "queued", ShedFull: "shed-full", ShedLate: "shed-late",
 }
 
-// String returns the verdict as logs and metrics write it.
+// String returns the name of the verdict in logs and metrics.
 func (v Verdict) String() string {
 	if v == 0 || int(v) >= len(verdictNames) {
 		return fmt.Sprintf("verdict(%d)", uint8(v))
@@ -46,56 +50,57 @@
 	return verdictNames[v]
 }
 
-// Shed tells whether the request was refused.
+// Shed reports whether the request was refused.
 func (v Verdict) Shed() bool { return v == ShedFull || v == ShedLate }
 
-// Ticket names a waiting request of one gate.
+// Ticket identifies a queued request of one gate.
 type Ticket uint64
 
-// Decision is a gate's answer to one request.
+// Decision is a gate's decision on one request.
 type Decision struct {
 	Verdict Verdict
 	// Ticket is set for Queued.
 	Ticket Ticket
-	// RetryAfter is set for refused requests.
+	// RetryAfter is the delay before a retry, set for refused requests.
 	RetryAfter time.Duration
 }
 
-// Event ends the waiting of one request.
+// Event ends the wait of one queued request: it is admitted or refused.
 type Event struct {
 	Ticket     Ticket
 	Verdict    Verdict
 	RetryAfter time.Duration
 }
 
-// Gate bounds the requests of one class at one service. It is safe for
-// concurrent use.
+// Gate limits the requests in flight of one class of one service at this
+// instance. It is safe for concurrent use.
 type Gate struct {
-	mu       sync.Mutex
-	limit    limit
-	inFlight int
-	waiting  waitList
-	last     Ticket
-	refused  uint64
+	mu         sync.Mutex
+	limit      limit
+	inFlight   int
+	waiting    waitList
+	lastTicket Ticket
+	refused    uint64
 }
 
-// NewGate returns a gate for a service whose capacity is not known yet.
+// NewGate returns a gate with a capacity of one slot until SetCapacity is
+// called.
 func NewGate() *Gate {
 	g := &Gate{}
 	g.limit.setCapacity(1, 1)
 	return g
 }
 
-// SetCapacity tells the gate the service's healthy slots over all targets and
-// the share of the service's requests that arrive at this instance, from 0 to 1.
+// SetCapacity sets the number of healthy slots over all targets of the service
+// and the share, from 0 to 1, of its requests that arrive at this instance.
 func (g *Gate) SetCapacity(slots int, share float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limit.setCapacity(slots, share)
 }
 
-// Enter decides on one request with a value and a deadline. Requests that
-// give way to it are returned as events.
+// Enter admits, queues or refuses a request with a value and a deadline. The
+// events refuse queued requests of lower value that it displaced.
 func (g *Gate) Enter(now time.Time, value int, deadline time.Time) (Decision, []Event) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -103,23 +108,24 @@
 	if !idle && g.late(now, deadline, g.waiting.ahead(value)) {
 		return g.shed(ShedLate), nil
 	}
-	if len(g.waiting) == 0 && g.inFlight < g.limit.whole() {
+	if len(g.waiting) == 0 && g.inFlight < g.limit.rounded() {
 		g.inFlight++
 		return Decision{Verdict: Admitted}, nil
 	}
 	return g.enqueue(value, deadline)
 }
 
-// late tells whether a request behind so many others can't finish in time.
+// late reports whether a request with ahead others before it in the queue
+// can't finish by its deadline.
 func (g *Gate) late(now, deadline time.Time, ahead int) bool {
 	wait := time.Duration(0)
-	if ahead > 0 || g.inFlight >= g.limit.whole() {
+	if ahead > 0 || g.inFlight >= g.limit.rounded() {
 		wait = g.expectedWait(ahead + 1)
 	}
 	return now.Add(wait + g.limit.latency()).After(deadline)
 }
 
-// expectedWait is how long n requests take to leave the queue.
+// expectedWait returns the expected time for n requests to leave the queue.
 func (g *Gate) expectedWait(n int) time.Duration {
 	return time.Duration(float64(g.limit.latency()) * float64(n) / math.Max(1, g.limit.value))
 }
@@ -127,23 +133,23 @@
 func (g *Gate) enqueue(value int, deadline time.Time) (Decision, []Event) {
 	var events []Event
 	if len(g.waiting) >= g.queueLength() {
-		least := g.waiting[len(g.waiting)-1]
-		if least.value >= value {
+		lowest := g.waiting[len(g.waiting)-1]
+		if lowest.value >= value {
 			return g.shed(ShedFull), nil
 		}
 		g.waiting = g.waiting[:len(g.waiting)-1]
-		events = []Event{g.end(least.ticket, ShedFull)}
+		events = []Event{g.end(lowest.ticket, ShedFull)}
 	}
-	g.last++
-	g.waiting.insert(waiter{ticket: g.last, value: value, deadline: deadline})
-	return Decision{Verdict: Queued, Ticket: g.last}, events
+	g.lastTicket++
+	g.waiting.insert(waiter{ticket: g.lastTicket, value: value, deadline: deadline})
+	return Decision{Verdict: Queued, Ticket: g.lastTicket}, events
 }
 
 func (g *Gate) queueLength() int {
-	return max(minQueue, queueFactor*g.limit.whole())
+	return max(minQueue, queueFactor*g.limit.rounded())
 }
 
-// Leave ends an admitted request; the events admit or refuse waiting ones.
+// Leave ends an admitted request. The events admit or refuse queued requests.
 func (g *Gate) Leave(now time.Time) []Event {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -151,35 +157,38 @@
 	return g.advance(now)
 }
 
-// Abandon takes back a waiting request whose caller left. It tells false if
-// its waiting has already ended; an admitted request must Leave then.
+// Abandon removes a queued request whose caller has cancelled it. It returns
+// false if the wait has already ended; if the request was admitted, the caller
+// must then call Leave.
 func (g *Gate) Abandon(t Ticket) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.waiting.remove(t)
 }
 
-// Observe records the end of one try at a target.
+// Observe records the result and latency of one try at a target.
 func (g *Gate) Observe(now time.Time, r fleet.TryResult, latency time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	nearlyUsed := float64(g.inFlight) >= usedAt*g.limit.value
+	nearlyUsed := float64(g.inFlight) >= usedThreshold*g.limit.value
 	g.limit.observe(now, r, latency, nearlyUsed)
 }
 
-// Tick ends the waiting of requests that can't finish any more.
+// Tick refuses queued requests that can no longer finish by their deadline and
+// admits others if there is room.
 func (g *Gate) Tick(now time.Time) []Event {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.advance(now)
 }
 
-// advance refuses what has become late and admits while there is room.
+// advance refuses queued requests that are overdue and admits others while the
+// limit allows.
 func (g *Gate) advance(now time.Time) []Event {
 	var events []Event
 	kept := g.waiting[:0]
 	for i, w := range g.waiting {
-		room := g.inFlight < g.limit.whole()
+		room := g.inFlight < g.limit.rounded()
 		switch {
 		case g.overdue(now, w.deadline):
 			events = append(events, g.end(w.ticket, ShedLate))
@@ -194,7 +203,8 @@
 	return events
 }
 
-// overdue tells whether a request could not finish even if it began now.
+// overdue reports whether a request would miss its deadline even if it started
+// now.
 func (g *Gate) overdue(now, deadline time.Time) bool {
 	if g.inFlight == 0 {
 		return now.After(deadline)
@@ -207,17 +217,18 @@
 	return Event{Ticket: t, Verdict: v, RetryAfter: d.RetryAfter}
 }
 
-// shed refuses a request. Callers refused in a row are told times that are
-// spread over half to the whole of what the queue takes to empty.
+// shed refuses a request. Its retry delay is spread between one and two times
+// the expected time for the queue and the requests in flight to finish, so
+// that refused callers don't retry all at once.
 func (g *Gate) shed(v Verdict) Decision {
 	g.refused++
 	wait := max(minRetryAfter, g.expectedWait(len(g.waiting)+g.inFlight))
-	_, part := math.Modf(float64(g.refused) * goldenRatio)
-	after := time.Duration(float64(wait) * (1 + part))
+	_, frac := math.Modf(float64(g.refused) * goldenRatio)
+	after := time.Duration(float64(wait) * (1 + frac))
 	return Decision{Verdict: v, RetryAfter: min(after, maxRetryAfter)}
 }
 
-// Stats are a gate's figures for metrics.
+// Stats are the current values of a gate for metrics.
 type Stats struct {
 	Limit    float64
 	InFlight int
@@ -226,7 +237,7 @@
 	Refused  uint64
 }
 
-// Stats returns the gate's figures.
+// Stats returns the gate's current values.
 func (g *Gate) Stats() Stats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -9,55 +9,60 @@
 )
 
 const (
-	// startFactor is the first limit as a multiple of the share of slots.
+	// startFactor is the initial limit as a multiple of the instance's share
+	// of the slots.
 	startFactor = 4
-	// usedAt is the share of the limit in use from which on successes raise
-	// it.
-	usedAt = 0.8
-	// probeStep is the part of the usual raise above the share of slots.
+	// usedThreshold is the fraction of the limit that must be in use for
+	// successes to raise it.
+	usedThreshold = 0.8
+	// probeStep scales the increase while the limit is above the share of
+	// slots.
 	probeStep = 0.2
-	// shedFactor and slowFactor lower the limit.
+	// shedFactor and slowFactor multiply the limit after a shed try and after
+	// a slow block of tries.
 	shedFactor = 0.9
 	slowFactor = 0.8
-	// slowAt is how often the median latency may exceed its least before
-	// targets count as queueing.
-	slowAt = 2
-	// minPause is the least time between two reductions.
-	minPause = 10 * time.Millisecond
-	// meanMemory is the time constant of the mean latency.
-	meanMemory = time.Second
-	// blockSize is the number of samples of which a median is taken.
+	// slowThreshold is the ratio of the median latency to its recent minimum
+	// above which targets count as queueing.
+	slowThreshold = 2
+	// minShedInterval is the minimum time between two reductions for shed
+	// tries.
+	minShedInterval = 10 * time.Millisecond
+	// meanDecay is the time constant of the mean latency.
+	meanDecay = time.Second
+	// blockSize is the number of samples per median.
 	blockSize = 64
-	// leastMemory is for how long, at least, the least median counts.
-	leastMemory = 30 * time.Second
+	// minMedianWindow is the minimum time for which a minimum median is kept.
+	minMedianWindow = 30 * time.Second
 )
 
-// limit is the number of requests that may be in flight; it adapts to what
-// targets answer.
+// limit is the adaptive number of requests that may be in flight. It follows
+// the results and latencies of tries.
 type limit struct {
-	value   float64
-	share   float64
-	most    float64
-	lowered time.Time
-	mean    average
-	median  median
+	value    float64
+	share    float64
+	max      float64
+	lastShed time.Time
+	mean     average
+	median   median
 }
 
 // setCapacity bounds the limit by the service's healthy slots.
 func (l *limit) setCapacity(slots int, share float64) {
-	first := l.most <= 1
-	l.most = math.Max(1, float64(slots))
-	l.share = math.Max(1, l.most*share)
+	first := l.max <= 1
+	l.max = math.Max(1, float64(slots))
+	l.share = math.Max(1, l.max*share)
 	if first {
 		l.value = math.Max(minQueue, startFactor*l.share)
 	}
-	l.value = math.Min(l.value, l.most)
+	l.value = math.Min(l.value, l.max)
 }
 
-// whole is the limit in requests, at least 1.
-func (l *limit) whole() int { return max(1, int(math.Round(l.value))) }
+// rounded returns the limit in whole requests, at least 1.
+func (l *limit) rounded() int { return max(1, int(math.Round(l.value))) }
 
-// latency is what a try is expected to take, 0 while that is not known.
+// latency returns the expected latency of a try, or 0 before the first
+// success.
 func (l *limit) latency() time.Duration {
 	return time.Duration(l.mean.value * float64(time.Second))
 }
@@ -68,7 +73,7 @@
 		l.shed(now)
 		return
 	case fleet.TryOK:
-		l.mean.add(now, latency.Seconds(), meanMemory)
+		l.mean.add(now, latency.Seconds(), meanDecay)
 	case fleet.TryTimeout:
 	default:
 		return
@@ -86,24 +91,24 @@
 	if l.value > l.share {
 		step *= probeStep
 	}
-	l.value = math.Min(l.most, l.value+step)
+	l.value = math.Min(l.max, l.value+step)
 }
 
-// shed lowers the limit, at most once a latency.
+// shed lowers the limit, at most once per expected latency.
 func (l *limit) shed(now time.Time) {
-	if now.Sub(l.lowered) < max(minPause, l.latency()) {
+	if now.Sub(l.lastShed) < max(minShedInterval, l.latency()) {
 		return
 	}
-	l.lowered = now
+	l.lastShed = now
 	l.lower(shedFactor, 1)
 }
 
-func (l *limit) lower(factor, least float64) {
-	l.value = math.Max(least, l.value*factor)
+func (l *limit) lower(factor, floor float64) {
+	l.value = math.Max(floor, l.value*factor)
 }
 
-// average forgets exponentially by time; weight is the number of samples that
-// still count.
+// average is a mean with exponential decay over time. weight is the decayed
+// number of samples.
 type average struct {
 	value  float64
 	at     time.Time
@@ -119,9 +124,9 @@
 	a.value += (sample - a.value) / a.weight
 }
 
-// median takes the medians of blocks of samples and keeps the least of the
-// current and the last period. A minority of slow or failing targets hardly
-// moves it.
+// median computes medians of blocks of samples and keeps the minimum of the
+// current and of the previous window. A minority of slow or failing targets
+// has little effect on it.
 type median struct {
 	block    [blockSize]float64
 	n        int
@@ -131,7 +136,7 @@
 	previous float64
 }
 
-// add tells whether the sample completed a block.
+// add records a sample and reports whether it completed a block.
 func (m *median) add(now time.Time, sample float64) bool {
 	m.block[m.n] = sample
 	m.n++
@@ -141,22 +146,23 @@
 	m.n = 0
 	slices.Sort(m.block[:])
 	m.value = m.block[blockSize/2]
-	m.keepLeast(now)
+	m.updateMin(now)
 	return true
 }
 
-func (m *median) keepLeast(now time.Time) {
+func (m *median) updateMin(now time.Time) {
 	switch {
 	case m.since.IsZero():
 		m.current, m.previous, m.since = m.value, m.value, now
-	case now.Sub(m.since) > leastMemory:
+	case now.Sub(m.since) > minMedianWindow:
 		m.previous, m.current, m.since = m.current, m.value, now
 	default:
 		m.current = math.Min(m.current, m.value)
 	}
 }
 
-// slow tells whether the last block's median is far above the least.
+// slow reports whether the median of the last block exceeds slowThreshold
+// times the minimum.
 func (m *median) slow() bool {
-	return m.value > slowAt*math.Min(m.current, m.previous)
+	return m.value > slowThreshold*math.Min(m.current, m.previous)
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -9,20 +9,22 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// Queue is a Gate whose requests wait in their own goroutines.
+// Queue wraps a Gate and blocks each queued request in its own goroutine. It is
+// safe for concurrent use.
 type Queue struct {
 	gate  *Gate
 	clock func() time.Time
-	// queued is how many requests wait; Tick has nothing to do for none.
+	// queued is the number of waiting requests. Tick returns early at 0.
 	queued atomic.Int64
 
 	mu      sync.Mutex
 	waiting map[Ticket]chan Event
-	// early holds events that came before their request began to wait.
+	// early holds events that were delivered before their request was
+	// registered in waiting.
 	early map[Ticket]Event
 }
 
-// NewQueue returns a queue with a gate of its own.
+// NewQueue returns a queue with a new gate.
 func NewQueue(clock func() time.Time) *Queue {
 	return &Queue{
 		gate:    NewGate(),
@@ -32,9 +34,9 @@
 	}
 }
 
-// Acquire waits until the request is admitted, refused, or its context ends.
-// A verdict of Admitted must be followed by Release. The error is that of the
-// context.
+// Acquire blocks until the request is admitted or refused, or ctx is done. The
+// caller must call Release after a verdict of Admitted. The only error is
+// ctx.Err().
 func (q *Queue) Acquire(ctx context.Context, value int, deadline time.Time) (Decision, error) {
 	d, events := q.gate.Enter(q.clock(), value, deadline)
 	q.deliver(events)
@@ -53,26 +55,26 @@
 	}
 }
 
-// Release ends an admitted request.
+// Release frees the slot of an admitted request.
 func (q *Queue) Release() { q.deliver(q.gate.Leave(q.clock())) }
 
-// Observe records the end of one try at a target.
+// Observe records the result and latency of one try at a target.
 func (q *Queue) Observe(r fleet.TryResult, latency time.Duration) {
 	q.gate.Observe(q.clock(), r, latency)
 }
 
-// Tick refuses waiting requests that can't finish any more; call it several
-// times a second.
+// Tick refuses waiting requests that can no longer finish by their deadline.
+// It must be called several times a second.
 func (q *Queue) Tick() {
 	if q.queued.Load() > 0 {
 		q.deliver(q.gate.Tick(q.clock()))
 	}
 }
 
-// SetCapacity is Gate.SetCapacity.
+// SetCapacity calls Gate.SetCapacity.
 func (q *Queue) SetCapacity(slots int, share float64) { q.gate.SetCapacity(slots, share) }
 
-// Stats returns the gate's figures.
+// Stats returns the gate's current values for metrics.
 func (q *Queue) Stats() Stats { return q.gate.Stats() }
 
 func (q *Queue) register(t Ticket) chan Event {
@@ -105,8 +107,8 @@
 	}
 }
 
-// abandon gives up waiting. If the event was faster, an admission is given
-// back.
+// abandon removes a waiting request. If the gate has already ended the wait
+// with an admission, abandon releases it.
 func (q *Queue) abandon(t Ticket, ch chan Event) {
 	if q.gate.Abandon(t) {
 		q.mu.Lock()
--- a/admission/service_test.go
+++ b/admission/service_test.go
@@ -14,9 +14,9 @@
 	testTries = 3
 )
 
-// testService is the gates of all instances before a few slots. Work takes an
-// exponentially distributed time; without a free slot it is shed or, if the
-// service queues, waits there.
+// testService simulates the gates of all instances in front of a service with
+// a few slots. The service time is exponentially distributed. A request without
+// a free slot is shed or, if queues is set, queued at the service.
 type testService struct {
 	now     time.Time
 	rng     *rand.Rand
@@ -30,7 +30,7 @@
 	busy    []testJob
 	queued  []testJob
 	waiting []map[Ticket]testJob
-	// backingOff holds what was shed by a target until it is tried again.
+	// backingOff holds requests shed by a target until their next try.
 	backingOff []testJob
 
 	offered, done, doneLow, offeredLow, shedByTarget, late int
@@ -68,7 +68,7 @@
 	return s
 }
 
-// capacity is what the slots can do, in requests a second.
+// capacity returns the throughput of all slots in requests per second.
 func (s *testService) capacity() float64 { return float64(s.slots) / s.mean.Seconds() }
 
 func (s *testService) run(d time.Duration, rate float64) {
@@ -130,7 +130,8 @@
 	s.begin(j)
 }
 
-// retry tries again a little later what a target shed, twice at most.
+// retry schedules another try of a request that a target shed, up to testTries
+// tries in total.
 func (s *testService) retry(j testJob) {
 	s.gates[j.gate].Observe(s.now, fleet.TryShed, 0)
 	j.tries++
--- a/admission/waitlist.go
+++ b/admission/waitlist.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// waiter is one waiting request.
+// waiter is one queued request.
 type waiter struct {
 	ticket   Ticket
 	value    int
 	deadline time.Time
 }
 
-// waitList is ordered by value, the greatest first, then by arrival. It is
-// short, so that a slice serves.
+// waitList is ordered by descending value, then by arrival. It is short enough
+// for linear searches.
 type waitList []waiter
 
-// ahead is how many requests a new one of the given value would wait behind.
+// ahead returns the number of requests that would precede a new request of the
+// given value.
 func (l waitList) ahead(value int) int {
 	for i := range l {
 		if l[i].value < value {
--- a/evidence/counters.go
+++ b/evidence/counters.go
@@ -6,8 +6,8 @@
 	"github.com/clementinereel/clementinereel/outlier"
 )
 
-// counters are the package's metrics, registered under "evidence.". A nil
-// registry keeps them private.
+// counters are the package's metrics, registered with the prefix "evidence.".
+// With a nil registry they are not exported.
 type counters struct {
 	sent, lost, folded, unknown, malformed, announced metrics.Counter
 	ejected, returned, givenBack                      metrics.Counter
@@ -27,8 +27,9 @@
 	}
 }
 
-// changed counts a target's change.
-func (c *counters) changed(e outlier.Event) {
+// countChange counts a target that was ejected, given back by the floor, or
+// returned to use.
+func (c *counters) countChange(e outlier.Event) {
 	switch {
 	case e.After.GivenBack && !e.Before.GivenBack:
 		c.givenBack.Inc(1)
--- a/evidence/line.go
+++ b/evidence/line.go
@@ -10,33 +10,34 @@
 	"github.com/clementinereel/clementinereel/outlier"
 )
 
-// line is the way to one aggregating instance: at most one call is under
-// way, and what comes up meanwhile waits, the newest report of each service.
-type line struct {
+// peerQueue queues reports for one aggregating instance. At most one call is in
+// flight; meanwhile the newest report of each service waits.
+type peerQueue struct {
 	busy    bool
 	waiting []outlier.Report
 }
 
-// put queues reports in place of older ones of the same services. A newer
-// report of a session says all that an older one said, unless the older one
-// has been acknowledged.
-func (l *line) put(rs []outlier.Report) {
+// put queues reports, replacing older ones of the same services. Within a
+// session, a newer report includes everything in an older one that has not been
+// acknowledged.
+func (q *peerQueue) put(rs []outlier.Report) {
 	for _, r := range rs {
-		l.putOne(r)
+		q.putOne(r)
 	}
 }
 
-func (l *line) putOne(r outlier.Report) {
-	for i := range l.waiting {
-		if l.waiting[i].Service == r.Service {
-			l.waiting[i] = r
+func (q *peerQueue) putOne(r outlier.Report) {
+	for i := range q.waiting {
+		if q.waiting[i].Service == r.Service {
+			q.waiting[i] = r
 			return
 		}
 	}
-	l.waiting = append(l.waiting, r)
+	q.waiting = append(q.waiting, r)
 }
 
-// send starts the calls that carry the reports of a tick.
+// send starts the calls that deliver the reports of a tick. Reports to this
+// instance itself are handled directly.
 func (t *Table) send(now time.Time, reports map[fleet.InstanceID][]outlier.Report) {
 	for to, rs := range reports {
 		if to == t.self {
@@ -44,16 +45,16 @@
 			continue
 		}
 		t.mu.Lock()
-		l := t.lines[to]
-		if l == nil {
-			l = &line{}
-			t.lines[to] = l
+		q := t.queues[to]
+		if q == nil {
+			q = &peerQueue{}
+			t.queues[to] = q
 		}
-		l.put(rs)
-		if !l.busy {
-			l.busy = true
+		q.put(rs)
+		if !q.busy {
+			q.busy = true
 			t.calls.Add(1)
-			go t.drain(to, l)
+			go t.drain(to, q)
 		}
 		t.mu.Unlock()
 	}
@@ -61,22 +62,22 @@
 
 func (t *Table) sendSelf(now time.Time, rs []outlier.Report) {
 	for _, r := range rs {
-		if v, ok := t.fold(now, r); ok {
+		if v, ok := t.handleReport(now, r); ok {
 			t.apply(now, v)
 		}
 	}
 }
 
-// drain sends what waits on a line until nothing does.
-func (t *Table) drain(to fleet.InstanceID, l *line) {
+// drain sends queued reports until the queue is empty, then removes the queue.
+func (t *Table) drain(to fleet.InstanceID, q *peerQueue) {
 	defer t.calls.Done()
 	for {
 		t.mu.Lock()
-		rs := l.waiting
-		l.waiting = nil
+		rs := q.waiting
+		q.waiting = nil
 		if len(rs) == 0 || t.ctx.Err() != nil {
-			l.busy = false
-			delete(t.lines, to)
+			q.busy = false
+			delete(t.queues, to)
 			t.mu.Unlock()
 			return
 		}
@@ -101,7 +102,8 @@
 	}
 }
 
-// announce starts the calls that tell reporters of changed verdicts.
+// announce applies changed verdicts at this instance and starts the calls that
+// announce them to the reporters.
 func (t *Table) announce(now time.Time, s *Service, v outlier.Verdicts, to []fleet.InstanceID) {
 	if len(to) == 0 {
 		return
@@ -118,7 +120,7 @@
 			continue
 		}
 		select {
-		case t.slots <- struct{}{}:
+		case t.announceSlots <- struct{}{}:
 		case <-t.ctx.Done():
 			return
 		}
@@ -129,7 +131,7 @@
 
 func (t *Table) announceOne(v outlier.Verdicts, to fleet.InstanceID) {
 	defer t.calls.Done()
-	defer func() { <-t.slots }()
+	defer func() { <-t.announceSlots }()
 	ctx, cancel := context.WithTimeout(t.ctx, t.settings.Timeout)
 	defer cancel()
 	t.counters.announced.Inc(1)
--- a/evidence/sender.go
+++ b/evidence/sender.go
@@ -14,27 +14,27 @@
 	"github.com/clementinereel/clementinereel/peer/peerv1/peerv1connect"
 )
 
-// maxMessage bounds a message of a peer, in bytes.
+// maxMessage is the maximum size of a message from another instance, in bytes.
 const maxMessage = 4 << 20
 
-// Sender carries reports and verdicts to other instances. Its methods may be
+// Sender sends reports and verdicts to other instances. Its methods may be
 // called concurrently.
 type Sender interface {
-	// Report hands reports of this instance to an aggregator and returns the
-	// verdicts it answers with.
+	// Report sends reports of this instance to an aggregator and returns the
+	// verdicts in its response.
 	Report(ctx context.Context, to fleet.InstanceID, rs []outlier.Report) ([]outlier.Verdicts, error)
-	// Announce tells an instance of verdicts.
+	// Announce sends verdicts to an instance.
 	Announce(ctx context.Context, to fleet.InstanceID, vs []outlier.Verdicts) error
 }
 
-// remote is a Sender over connect.
+// remote is a Sender that uses Connect RPC.
 type remote struct {
 	client *http.Client
 	url    func(fleet.InstanceID) string
 }
 
-// NewSender returns a sender whose calls go through an HTTP client to the
-// base URL of each instance.
+// NewSender returns a sender that calls other instances with client. The url
+// function returns the base URL of an instance.
 func NewSender(client *http.Client, url func(fleet.InstanceID) string) Sender {
 	return &remote{client: client, url: url}
 }
@@ -59,12 +59,12 @@
 	return errors.WithStack(err)
 }
 
-// server answers other instances' calls.
+// server handles calls from other instances.
 type server struct {
 	table *Table
 }
 
-// Handler returns the path and the handler that answer other instances.
+// Handler returns the path and the handler for calls from other instances.
 func (t *Table) Handler() (path string, h http.Handler) {
 	return peerv1connect.NewEvidenceServiceHandler(server{t}, connect.WithReadMaxBytes(maxMessage))
 }
@@ -79,7 +79,7 @@
 	now := s.table.now()
 	var vs []outlier.Verdicts
 	for _, r := range rs {
-		if v, ok := s.table.fold(now, r); ok {
+		if v, ok := s.table.handleReport(now, r); ok {
 			vs = append(vs, v)
 		}
 	}
@@ -95,8 +95,8 @@
 	return connect.NewResponse(&peerv1.AnnounceResponse{}), nil
 }
 
-// millis bounds a duration that another instance sent.
+// millis converts a duration received from another instance, capped at 24 h.
 func millis(ms uint64) time.Duration {
-	const most = uint64(24 * time.Hour / time.Millisecond)
-	return time.Duration(min(ms, most)) * time.Millisecond
+	const maxMillis = uint64(24 * time.Hour / time.Millisecond)
+	return time.Duration(min(ms, maxMillis)) * time.Millisecond
 }
--- a/evidence/service.go
+++ b/evidence/service.go
@@ -9,44 +9,45 @@
 	"github.com/clementinereel/clementinereel/outlier"
 )
 
-// Service is the detection of one service at this instance. Start, Done,
-// Record and Snapshot are for the request path; they never wait for a tick.
+// Service runs the detector of one service and, while reports arrive at this
+// instance, its aggregator. Start, Done, Record and Snapshot are for the
+// request path and never block on a tick.
 type Service struct {
 	id       fleet.ServiceID
 	detector *outlier.Detector
 	snapshot atomic.Pointer[outlier.Snapshot]
 
-	// mu guards all calls to the detector but those of the request path, and
-	// the aggregator.
+	// mu guards the fields below and all calls to the detector except those of
+	// the request path.
 	mu         sync.Mutex
 	cfg        outlier.Config
 	targets    []fleet.Target
 	aggregator *outlier.Aggregator
-	// announced is the Number of the verdicts that were announced last.
-	announced int64
+	// lastAnnounced is the Number of the last announced verdicts.
+	lastAnnounced int64
 }
 
-// Start tells that a try at a target begins. Done must be called with the
-// returned Try, once.
+// Start records the start of a try at a target. Done must be called exactly
+// once with the returned Try.
 func (s *Service) Start(t fleet.TargetID, now time.Time) outlier.Try {
 	return s.detector.Start(t, now)
 }
 
-// Done tells how a try ended and how long it took.
+// Done records the result and latency of a try.
 func (s *Service) Done(t outlier.Try, r fleet.TryResult, latency time.Duration) {
 	s.detector.Done(t, r, latency)
 }
 
-// Record tells how a try ended that Start was not called for.
+// Record records the result and latency of a try without a call to Start.
 func (s *Service) Record(t fleet.TargetID, r fleet.TryResult, latency time.Duration) {
 	s.detector.Record(t, r, latency)
 }
 
-// Snapshot returns what the last tick found. It does not change and is never
-// nil.
+// Snapshot returns the immutable result of the last tick or change of
+// configuration. It is never nil.
 func (s *Service) Snapshot() *outlier.Snapshot { return s.snapshot.Load() }
 
-// set applies a contract and announcements.
+// set applies the configuration and the targets of the service.
 func (s *Service) set(now time.Time, cfg outlier.Config, targets []fleet.Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,7 +61,8 @@
 	s.snapshot.Store(s.detector.Tick(now).Snapshot)
 }
 
-// detect runs the detector. The report, if any, is for the aggregator.
+// detect runs the detector once. The report in the output, if any, is for the
+// aggregator; routine is the interval between routine reports.
 func (s *Service) detect(now time.Time, aggregator fleet.InstanceID, routine time.Duration) outlier.Output {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,15 +73,16 @@
 	return out
 }
 
-// apply takes in verdicts.
+// apply passes verdicts to the detector.
 func (s *Service) apply(now time.Time, v outlier.Verdicts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.detector.ApplyVerdicts(now, v)
 }
 
-// fold takes in a report of any instance, this one included.
-func (s *Service) fold(now time.Time, self fleet.InstanceID, r outlier.Report) outlier.Verdicts {
+// addReport adds a report of any instance, including this one, to the
+// aggregator, which it creates if needed. It returns the current verdicts.
+func (s *Service) addReport(now time.Time, self fleet.InstanceID, r outlier.Report) outlier.Verdicts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.aggregator == nil {
@@ -89,8 +92,9 @@
 	return s.aggregator.Fold(now, r)
 }
 
-// aggregate runs the aggregator, if there is one. It returns whom to tell of
-// the verdicts if they changed.
+// aggregate runs the aggregator, if there is one, and drops it when it is no
+// longer used. If the verdicts changed, it also returns the instances to
+// announce them to.
 func (s *Service) aggregate(now time.Time) (outlier.Verdicts, []fleet.InstanceID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,9 +106,9 @@
 		return outlier.Verdicts{}, nil
 	}
 	v := s.aggregator.Tick(now)
-	if v.Number == s.announced {
+	if v.Number == s.lastAnnounced {
 		return v, nil
 	}
-	s.announced = v.Number
+	s.lastAnnounced = v.Number
 	return v, s.aggregator.Reporters()
 }
--- a/evidence/settings.go
+++ b/evidence/settings.go
@@ -14,14 +14,14 @@
 	defaultAnnouncers  = 16
 )
 
-// Settings bound what evidence costs.
+// Settings limit the load that exchanging evidence causes.
 type Settings struct {
-	// Timeout bounds one call to another instance. Default 1 s.
+	// Timeout is the timeout of one call to another instance. Default 1 s.
 	Timeout time.Duration
-	// RoutineRate bounds the reports a second that carry nothing urgent, over
-	// all services. Default 8.
+	// RoutineRate is the maximum number of routine (not urgent) reports per
+	// second over all services. Default 8.
 	RoutineRate int
-	// Announcers is how many announcements may be under way at once.
+	// Announcers is the maximum number of concurrent announcements.
 	// Default 16.
 	Announcers int
 }
@@ -39,10 +39,11 @@
 	return s
 }
 
-// routine is how far apart a service's routine reports are.
-func (s Settings) routine(services int) time.Duration {
+// routineInterval returns the interval between routine reports of one service.
+func (s Settings) routineInterval(services int) time.Duration {
 	return max(outlier.RoutineInterval, time.Duration(services)*time.Second/time.Duration(s.RoutineRate))
 }
 
-// Roles tells which instance aggregates a service; empty: none is known.
+// Roles returns the instance that aggregates a service, or "" if there is
+// none.
 type Roles func(fleet.ServiceID) fleet.InstanceID
--- a/evidence/table.go
+++ b/evidence/table.go
@@ -13,7 +13,7 @@
 	"github.com/clementinereel/clementinereel/outlier"
 )
 
-// Table holds the services in force at this instance.
+// Table holds the active services of this instance.
 type Table struct {
 	self     fleet.InstanceID
 	zone     fleet.Zone
@@ -25,19 +25,19 @@
 
 	mu       sync.RWMutex
 	services map[fleet.ServiceID]*Service
-	// order is the order in which ticks go over the services.
+	// order is the order in which Tick processes the services.
 	order   []*Service
 	suspect int
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	calls  sync.WaitGroup
-	lines  map[fleet.InstanceID]*line
-	slots  chan struct{}
+	ctx           context.Context
+	cancel        context.CancelFunc
+	calls         sync.WaitGroup
+	queues        map[fleet.InstanceID]*peerQueue
+	announceSlots chan struct{}
 }
 
-// NewTable returns an empty table. The clock times what arrives between
-// ticks. Metrics go to the registry unless it is nil.
+// NewTable returns an empty table. The now function gives the time of messages
+// that arrive between ticks. Metrics are registered in r unless it is nil.
 func NewTable(self fleet.InstanceID, zone fleet.Zone, s Settings, roles Roles, sender Sender, now func() time.Time, r metrics.Registry) *Table {
 	s = s.withDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -46,18 +46,19 @@
 		counters: newCounters(r), now: now,
 		services: map[fleet.ServiceID]*Service{},
 		ctx:      ctx, cancel: cancel,
-		lines: map[fleet.InstanceID]*line{},
-		slots: make(chan struct{}, s.Announcers),
+		queues:        map[fleet.InstanceID]*peerQueue{},
+		announceSlots: make(chan struct{}, s.Announcers),
 	}
 }
 
-// Close ends the calls under way and waits for them. No Tick may follow.
+// Close cancels the calls in flight and waits for them to return. Tick must not
+// be called afterwards.
 func (t *Table) Close() {
 	t.cancel()
 	t.calls.Wait()
 }
 
-// Set puts a service in force, or changes its config or targets.
+// Set adds a service, or updates its config and targets.
 func (t *Table) Set(id fleet.ServiceID, cfg outlier.Config, targets []fleet.Target) *Service {
 	now := t.now()
 	t.mu.Lock()
@@ -66,7 +67,7 @@
 		s = &Service{id: id, detector: outlier.NewDetector(cfg, t.self, t.zone)}
 		s.set(now, cfg, targets)
 		t.services[id] = s
-		t.order = append(t.order, s) // a tick under way doesn't look beyond its end
+		t.order = append(t.order, s) // safe: a running Tick reads only up to the length it copied
 		t.mu.Unlock()
 		return s
 	}
@@ -75,7 +76,7 @@
 	return s
 }
 
-// Remove takes a service out of force.
+// Remove removes a service.
 func (t *Table) Remove(id fleet.ServiceID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,24 +85,24 @@
 	t.order = slices.DeleteFunc(slices.Clone(t.order), func(o *Service) bool { return o == s })
 }
 
-// Get returns a service in force, or nil.
+// Get returns a service, or nil if the table doesn't have it.
 func (t *Table) Get(id fleet.ServiceID) *Service {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.services[id]
 }
 
-// Suspect tells for how many services so many targets look sick from this
-// instance that it blames its own network.
+// Suspect returns the number of services of which so many targets look
+// unhealthy from this instance that it suspects its own network.
 func (t *Table) Suspect() int {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.suspect
 }
 
-// Tick runs all services once, and returns what changed. It starts calls to
-// other instances but does not wait for them. It should be called every 50 to
-// 100 ms, by one goroutine.
+// Tick runs all services once and returns the targets' changes. It starts calls
+// to other instances without waiting for them. It should be called every 50 to
+// 100 ms by a single goroutine.
 func (t *Table) Tick(now time.Time) []outlier.Event {
 	t.mu.RLock()
 	order := t.order
@@ -109,7 +110,7 @@
 	var events []outlier.Event
 	reports := map[fleet.InstanceID][]outlier.Report{}
 	suspect := 0
-	routine := t.settings.routine(len(order))
+	routine := t.settings.routineInterval(len(order))
 	for _, s := range order {
 		to := t.roles(s.id)
 		out := s.detect(now, to, routine)
@@ -135,7 +136,7 @@
 
 func (t *Table) log(events []outlier.Event) {
 	for _, e := range events {
-		t.counters.changed(e)
+		t.counters.countChange(e)
 		klog.InfoS("Target changed", "service", e.Service, "target", e.Target,
 			"before", e.Before.Phase.String(), "after", e.After.Phase.String(),
 			"scope", e.After.Scope.String(), "reason", e.After.Reason.String(),
@@ -143,18 +144,20 @@
 	}
 }
 
-// fold hands a report to a service's aggregator.
-func (t *Table) fold(now time.Time, r outlier.Report) (outlier.Verdicts, bool) {
+// handleReport passes a report to the service's aggregator. It returns false if
+// the table doesn't have the service.
+func (t *Table) handleReport(now time.Time, r outlier.Report) (outlier.Verdicts, bool) {
 	s := t.Get(r.Service)
 	if s == nil {
 		t.counters.unknown.Inc(1)
 		return outlier.Verdicts{}, false
 	}
 	t.counters.folded.Inc(1)
-	return s.fold(now, t.self, r), true
+	return s.addReport(now, t.self, r), true
 }
 
-// apply hands verdicts to a service's detector.
+// apply passes verdicts to the service's detector. Verdicts on services that
+// the table doesn't have are ignored.
 func (t *Table) apply(now time.Time, v outlier.Verdicts) {
 	s := t.Get(v.Service)
 	if s == nil {
--- a/evidence/table_test.go
+++ b/evidence/table_test.go
@@ -26,28 +26,28 @@
 	testInterval = 50 * time.Millisecond
 )
 
-// clock is a clock that moves only when told.
-type clock struct {
+// manualClock is a clock that moves only by advance.
+type manualClock struct {
 	mu  sync.Mutex
 	now time.Time
 }
 
-func (c *clock) Now() time.Time {
+func (c *manualClock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-func (c *clock) advance(d time.Duration) time.Time {
+func (c *manualClock) advance(d time.Duration) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(d)
 	return c.now
 }
 
-// testFleet are tables that reach each other over loopback.
+// testFleet is a set of tables that call each other over loopback.
 type testFleet struct {
-	clock    clock
+	clock    manualClock
 	tables   []*Table
 	registry metrics.Registry
 	urls     map[fleet.InstanceID]string
@@ -58,14 +58,14 @@
 // newTestFleet starts n tables; instance 0 aggregates.
 func newTestFleet(t *testing.T, n int) *testFleet {
 	f := &testFleet{
-		clock: clock{now: time.Unix(1_800_000_000, 0)}, registry: metrics.NewRegistry(),
+		clock: manualClock{now: time.Unix(1_800_000_000, 0)}, registry: metrics.NewRegistry(),
 		urls: map[fleet.InstanceID]string{},
 	}
 	roles := func(fleet.ServiceID) fleet.InstanceID { return instance(0) }
 	for i := range n {
 		sender := NewSender(http.DefaultClient, func(id fleet.InstanceID) string { return f.urls[id] })
 		zone := fleet.Zone(fmt.Sprintf("z%d", i%3))
-		// Calls may take as long as a loaded machine needs.
+		// The timeout is long enough for a heavily loaded machine.
 		table := NewTable(instance(i), zone, Settings{Timeout: time.Minute}, roles, sender, f.clock.Now, f.registry)
 		mux := http.NewServeMux()
 		mux.Handle(table.Handler())
@@ -92,8 +92,9 @@
 	return ts
 }
 
-// work lets every instance try every target once; target 3 fails.
-func (f *testFleet) work(failing bool) {
+// sendTraffic lets every instance try every target in use once. If failing is
+// set, target 3 fails.
+func (f *testFleet) sendTraffic(failing bool) {
 	for _, table := range f.tables {
 		s := table.Get(testService)
 		for i := range 6 {
@@ -111,7 +112,8 @@
 	}
 }
 
-// tick moves the clock and waits until the reports have been delivered.
+// tick advances the clock by testInterval, ticks all tables and waits until
+// their reports have been delivered.
 func (f *testFleet) tick(t *testing.T) {
 	now := f.clock.advance(testInterval)
 	for _, table := range f.tables {
@@ -120,10 +122,10 @@
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for _, table := range f.tables {
 			table.mu.RLock()
-			busy := len(table.lines)
+			busy := len(table.queues)
 			table.mu.RUnlock()
 			if busy > 0 {
-				return poll.Continue("reports under way")
+				return poll.Continue("reports in flight")
 			}
 		}
 		return poll.Success()
@@ -133,14 +135,14 @@
 func TestEjectionReachesEveryInstance(t *testing.T) {
 	f := newTestFleet(t, 6)
 	for range 40 {
-		f.work(false)
+		f.sendTraffic(false)
 		f.tick(t)
 	}
 	for range 12 {
-		f.work(true)
+		f.sendTraffic(true)
 		f.tick(t)
 	}
-	// An instance without traffic hears it from the announcement.
+	// Instances without traffic receive the verdict by announcement.
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		f.tick(t)
 		for _, table := range f.tables {
@@ -159,7 +161,7 @@
 	assert.Assert(t, metrics.GetOrRegisterCounter("evidence.targets.ejected", f.registry).Count() >= 6)
 }
 
-// lossy is a sender whose calls fail until told otherwise.
+// lossy is a Sender whose reports fail while fail is set.
 type lossy struct {
 	mu   sync.Mutex
 	fail bool
@@ -170,7 +172,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.fail {
-		return nil, errors.New("cut off")
+		return nil, errors.New("connection lost")
 	}
 	l.got = append(l.got, rs)
 	return []outlier.Verdicts{{Service: testService, From: "a", Session: rs[0].Session, Ack: rs[0].Seq}}, nil
@@ -178,9 +180,9 @@
 
 func (l *lossy) Announce(context.Context, fleet.InstanceID, []outlier.Verdicts) error { return nil }
 
-func TestLostReportsAreMadeUpFor(t *testing.T) {
+func TestNextReportIncludesLostCounts(t *testing.T) {
 	l := &lossy{fail: true}
-	f := &testFleet{clock: clock{now: time.Unix(1_800_000_000, 0)}}
+	f := &testFleet{clock: manualClock{now: time.Unix(1_800_000_000, 0)}}
 	table := NewTable("i", "z", Settings{}, func(fleet.ServiceID) fleet.InstanceID { return "a" }, l, f.clock.Now, nil)
 	defer table.Close()
 	f.tables = []*Table{table}
@@ -197,14 +199,14 @@
 	assert.Equal(t, l.got[0][0].Targets[0].Counts.Failed, uint32(3))
 }
 
-func TestNewerReportTakesTheOldersPlace(t *testing.T) {
-	l := &line{}
+func TestNewerReportReplacesOlder(t *testing.T) {
+	l := &peerQueue{}
 	l.put([]outlier.Report{{Service: "a", Seq: 1}, {Service: "b", Seq: 1}})
 	l.put([]outlier.Report{{Service: "a", Seq: 2}})
 	assert.DeepEqual(t, l.waiting, []outlier.Report{{Service: "a", Seq: 2}, {Service: "b", Seq: 1}})
 }
 
-func TestMalformedReportIsRefused(t *testing.T) {
+func TestMalformedReportIsRejected(t *testing.T) {
 	f := newTestFleet(t, 1)
 	c := peerv1connect.NewEvidenceServiceClient(http.DefaultClient, f.urls[instance(0)])
 	for _, m := range []*peerv1.ReportRequest{
--- a/evidence/wire.go
+++ b/evidence/wire.go
@@ -119,7 +119,7 @@
 	return vs
 }
 
-// decodeVerdict skips verdicts whose phase this version does not know.
+// decodeVerdict returns false for a verdict with an unsupported phase.
 func decodeVerdict(t *peerv1.TargetVerdict) (outlier.Verdict, bool) {
 	v := outlier.Verdict{
 		Target: fleet.TargetID(t.Target), Zone: fleet.Zone(t.Zone),
@@ -139,7 +139,7 @@
 	return v, known
 }
 
-// share bounds a share that another instance sent; NaN becomes 0.
+// share limits a ratio received from another instance to 0..1; NaN becomes 0.
 func share(x float64) float64 {
 	if x > 0 {
 		return min(x, 1)
@@ -147,7 +147,8 @@
 	return 0
 }
 
+// micros converts a duration received from another instance, capped at 1 h.
 func micros(us uint64) time.Duration {
-	const most = uint64(time.Hour / time.Microsecond)
-	return time.Duration(min(us, most)) * time.Microsecond
+	const maxMicros = uint64(time.Hour / time.Microsecond)
+	return time.Duration(min(us, maxMicros)) * time.Microsecond
 }
--- a/evidence/wire_test.go
+++ b/evidence/wire_test.go
@@ -15,7 +15,7 @@
 
 var testContract = contract.Service{Name: "s", Slots: 4}
 
-// testReport is a report about n targets, as a busy instance sends it.
+// testReport returns a typical report of a busy instance on n targets.
 func testReport(n int) outlier.Report {
 	r := outlier.Report{
 		Service: "daugava/price-catalogue", From: "riga-a-17", Zone: "riga-a",
@@ -30,7 +30,7 @@
 	return r
 }
 
-func TestWireKeepsReportsAndVerdicts(t *testing.T) {
+func TestWireRoundTrip(t *testing.T) {
 	r := testReport(3)
 	got, err := decodeReports(encodeReports([]outlier.Report{r}))
 	assert.NilError(t, err)
@@ -46,7 +46,7 @@
 	assert.DeepEqual(t, decodeVerdicts(encodeVerdicts([]outlier.Verdicts{v})), []outlier.Verdicts{v})
 }
 
-// BenchmarkReportBytes gives the encoded size of reports, without framing.
+// BenchmarkReportBytes measures the encoded size of reports, without framing.
 func BenchmarkReportBytes(b *testing.B) {
 	for _, n := range []int{1, 10, 20} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
