--- a/allowance/allowance_test.go
+++ b/allowance/allowance_test.go
@@ -19,7 +19,7 @@
 	"github.com/clementinereel/clementinereel/ratelimit"
 )
 
-// testInstance is one instance on loopback.
+// testInstance is an instance on the loopback interface.
 type testInstance struct {
 	transport *peer.Transport
 	peers     *peer.Server
@@ -27,7 +27,7 @@
 	client    *Client
 }
 
-// startFleet starts n instances, of which the first is everybody's limiter.
+// startFleet starts n instances. The first is the limiter of all customers.
 func startFleet(tb testing.TB, n int, source ratelimit.Source) []*testInstance {
 	tb.Helper()
 	view := func() ratelimit.View {
@@ -63,13 +63,14 @@
 	return instances
 }
 
-func limited(rate, burst float64) ratelimit.Source {
+func limitSource(rate, burst float64) ratelimit.Source {
 	return func(c fleet.CustomerID) (ratelimit.Limits, bool) {
 		return ratelimit.Limits{{ID: ratelimit.Whole, Rate: rate, Burst: burst}}, c != "unknown"
 	}
 }
 
-// takeAll takes until the account refuses and returns how much it let through.
+// takeAll takes until the account refuses and returns the number of requests
+// admitted.
 func (in *testInstance) takeAll(c fleet.CustomerID) int {
 	for n := 0; ; n++ {
 		d := in.client.Table().Take(time.Now(), c, ratelimit.Whole)
@@ -80,15 +81,16 @@
 	}
 }
 
-// TestInstancesShareTheBurst takes until nothing more comes: the burst passes, and
-// beyond it only the overdrafts that ratelimit's doc.go names, half of a burst.
+// TestInstancesShareTheBurst takes until no more tokens are granted: the burst
+// is admitted, and beyond it at most the overdrafts described in the package
+// documentation of ratelimit, half of a burst.
 func TestInstancesShareTheBurst(t *testing.T) {
 	const (
 		burst      = 200
 		overdrafts = burst / 2
 		settled    = 2 * time.Second
 	)
-	in := startFleet(t, 3, limited(0.001, burst))
+	in := startFleet(t, 3, limitSource(0.001, burst))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	for _, i := range in {
@@ -110,11 +112,11 @@
 }
 
 func TestCallsFail(t *testing.T) {
-	in := startFleet(t, 2, limited(10, 100))
+	in := startFleet(t, 2, limitSource(10, 100))
 	assert.NilError(t, in[0].peers.Close())
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	assert.Assert(t, in[1].takeAll("c") > 0, "the own share needs nobody")
+	assert.Assert(t, in[1].takeAll("c") > 0, "the instance's own share must need no limiter")
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		in[1].client.Tick(ctx)
 		in[1].takeAll("c")
@@ -126,33 +128,33 @@
 }
 
 func TestChargesArePaid(t *testing.T) {
-	in := startFleet(t, 2, limited(0.001, 10))
+	in := startFleet(t, 2, limitSource(0.001, 10))
 	table := in[1].client.Table()
 	table.Take(time.Now(), "c", ratelimit.Whole).Done(time.Now())
 	due := table.Due(time.Now().Add(time.Minute))
 	assert.Equal(t, len(due.Charges), 1)
-	in[1].client.ask(t.Context(), "i0", due)
+	in[1].client.call(t.Context(), "i0", due)
 	assert.Equal(t, in[0].server.Len(), 1)
-	assert.Equal(t, len(table.Due(time.Now().Add(2*time.Minute)).Charges), 0, "the debt is paid")
+	assert.Equal(t, len(table.Due(time.Now().Add(2*time.Minute)).Charges), 0, "the charge must not be due again once paid")
 	unpaid := ratelimit.Charge{Customer: "c", Limits: []ratelimit.LimitCharge{{Tokens: 9.5}}}
 	unknown := ratelimit.Charge{Customer: "unknown"}
 	assert.DeepEqual(t, in[0].server.Charge([]ratelimit.Charge{unpaid, unknown}), []bool{false, false})
-	assert.DeepEqual(t, paidOf(3, []uint32{1}), []bool{true, false, true})
+	assert.DeepEqual(t, paidCharges(3, []uint32{1}), []bool{true, false, true})
 }
 
-func TestUnknownCustomersAreLeftOut(t *testing.T) {
-	s := NewServer(limited(1, 1), func() ratelimit.View { return ratelimit.View{Listed: 1, Reached: 1} }, time.Now)
-	grants := s.Fold([]ratelimit.Demand{{Customer: "unknown"}, {Customer: "c", Seq: 1}})
+func TestUnknownCustomersAreSkipped(t *testing.T) {
+	s := NewServer(limitSource(1, 1), func() ratelimit.View { return ratelimit.View{Listed: 1, Reached: 1} }, time.Now)
+	grants := s.HandleDemands([]ratelimit.Demand{{Customer: "unknown"}, {Customer: "c", Seq: 1}})
 	assert.Equal(t, len(grants), 1)
 	assert.Equal(t, grants[0].Customer, fleet.CustomerID("c"))
 	assert.Equal(t, s.Len(), 1)
 }
 
-func TestServerForgets(t *testing.T) {
+func TestServerExpiresState(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	clock := func() time.Time { return now }
-	s := NewServer(limited(1, 100), func() ratelimit.View { return ratelimit.View{Listed: 1, Reached: 1} }, clock)
-	s.Fold([]ratelimit.Demand{{Customer: "c", Seq: 1}})
+	s := NewServer(limitSource(1, 100), func() ratelimit.View { return ratelimit.View{Listed: 1, Reached: 1} }, clock)
+	s.HandleDemands([]ratelimit.Demand{{Customer: "c", Seq: 1}})
 	now = now.Add(50 * time.Second)
 	s.Tick()
 	assert.Equal(t, s.Len(), 1, "the bucket is not full yet")
@@ -162,7 +164,7 @@
 }
 
 func TestMalformedMessages(t *testing.T) {
-	s := NewServer(limited(1, 1), func() ratelimit.View { return ratelimit.View{} }, time.Now)
+	s := NewServer(limitSource(1, 1), func() ratelimit.View { return ratelimit.View{} }, time.Now)
 	nan, inf := float32(math.NaN()), float32(math.Inf(1))
 	for name, l := range map[string]*peerv1.LimitDemand{
 		"balance":  {Balance: nan},
@@ -185,7 +187,7 @@
 	assert.Equal(t, s.Len(), 0)
 }
 
-func TestCodecKeepsMessages(t *testing.T) {
+func TestCodecRoundTrip(t *testing.T) {
 	d := ratelimit.Demand{
 		Customer: "c", Holder: fleet.Holder{Instance: "a", Incarnation: 7}, Seq: 3, Applied: 2,
 		Limits: []ratelimit.LimitDemand{{ID: 9, Balance: -1.5, Want: 4, Offered: 2.5, InFlight: 3, Busy: 0.5, WantSlots: 6, Slots: 5}},
@@ -206,8 +208,8 @@
 	assert.DeepEqual(t, got, g)
 }
 
-// BenchmarkCharge is one call over loopback with charges for so many customers,
-// each with a limit on the whole and one on a route.
+// BenchmarkCharge measures one call over loopback with charges for several numbers of
+// customers, each with a limit for the whole customer and one for a route.
 func BenchmarkCharge(b *testing.B) {
 	for _, customers := range []int{1, 10, 100} {
 		b.Run(fmt.Sprint(customers), func(b *testing.B) {
@@ -223,15 +225,15 @@
 	}
 }
 
-// benchmarkCalls makes calls of one instance to another.
+// benchmarkCalls measures calls from one instance to another.
 func benchmarkCalls(b *testing.B, due func(n int) ratelimit.Due) {
-	in := startFleet(b, 2, limited(1e6, 1e6))
-	in[1].client.ask(b.Context(), "i0", due(1))
+	in := startFleet(b, 2, limitSource(1e6, 1e6))
+	in[1].client.call(b.Context(), "i0", due(1))
 	before := in[1].transport.Stats()
 	n := 1
 	for b.Loop() {
 		n++
-		in[1].client.ask(b.Context(), "i0", due(n))
+		in[1].client.call(b.Context(), "i0", due(n))
 	}
 	after := in[1].transport.Stats()
 	assert.Equal(b, in[1].client.failed.Count(), int64(0))
@@ -239,8 +241,8 @@
 	b.ReportMetric(float64(after.BytesIn-before.BytesIn)/float64(n-1), "B_in/op")
 }
 
-// BenchmarkAsk is one call over loopback with demands for so many customers,
-// each with a limit on the whole and one on a route.
+// BenchmarkAsk measures one call over loopback with demands for several numbers of
+// customers, each with a limit for the whole customer and one for a route.
 func BenchmarkAsk(b *testing.B) {
 	for _, customers := range []int{1, 10, 100} {
 		b.Run(fmt.Sprint(customers), func(b *testing.B) {
--- a/allowance/bench_test.go
+++ b/allowance/bench_test.go
@@ -11,9 +11,9 @@
 	"github.com/clementinereel/clementinereel/ratelimit"
 )
 
-// BenchmarkTwoUsers has 44 instances on loopback, all of whose customers have
-// the same limiter: two customers with three routes each, at the whole rate of
-// their contracts, one instance with 30 % of the traffic.
+// BenchmarkTwoUsers runs 44 instances on loopback with one limiter for all
+// customers: two customers with three routes each send at the full rate of their
+// contracts, and one instance receives 30 % of the traffic.
 func BenchmarkTwoUsers(b *testing.B) {
 	const n, rate, seconds = 44, 200.0, 5
 	routes := []ratelimit.LimitID{ratelimit.RouteID("x"), ratelimit.RouteID("y"), ratelimit.RouteID("z")}
@@ -48,7 +48,8 @@
 	b.ReportMetric(float64(passed)/(2*rate*seconds), "of_due")
 }
 
-// offer sends requests at random moments and returns how many passed.
+// offer sends requests with exponentially distributed intervals and returns the
+// number admitted.
 func offer(in []*testInstance, rng *rand.Rand, routes []ratelimit.LimitID, rate float64, span time.Duration) int {
 	passed, start := 0, time.Now()
 	next := start
--- a/allowance/client.go
+++ b/allowance/client.go
@@ -18,37 +18,38 @@
 )
 
 const (
-	// TickInterval is how often Run looks for demands that are due.
+	// TickInterval is the interval at which Run sends the demands that are due.
 	TickInterval = 100 * time.Millisecond
-	// urgentPause is the least time between looks for urgent ones.
-	urgentPause = 5 * time.Millisecond
-	// callTimeout bounds a call. Accounts ask anew before it ends; a call that
-	// finds a path cut goes on through a relay meanwhile.
+	// minUrgentInterval is the minimum time between checks for urgent demands.
+	minUrgentInterval = 5 * time.Millisecond
+	// callTimeout is the timeout of a call. Accounts repeat their demands before
+	// it expires; meanwhile a call whose direct path is cut is retried through a
+	// relay.
 	callTimeout = time.Second
 )
 
-// uncompressed keeps answers as they are: they are short, and compressing them
-// costs more processor time than it saves bytes.
+// uncompressed disables response compression: responses are short, and the CPU
+// cost outweighs the bytes saved.
 var uncompressed = connect.WithAcceptCompression("gzip", nil, nil)
 
-// Config is what a Client needs.
+// Config holds the dependencies of a Client.
 type Config struct {
 	Self fleet.Holder
-	// Source gives customers' limits in force.
+	// Source returns the limits in force for a customer.
 	Source ratelimit.Source
-	// Limiter returns the instance that is a customer's limiter, by this
-	// instance's view; false if there is none.
+	// Limiter returns the instance that is a customer's limiter in this
+	// instance's view, or false if there is none.
 	Limiter func(fleet.CustomerID) (fleet.InstanceID, bool)
-	// HTTP reaches peers by the URLs of package peer.
+	// HTTP is the client for the peer URLs of package peer.
 	HTTP *http.Client
-	// Local answers demands for which this instance is the limiter itself.
+	// Local handles demands for which this instance is the limiter.
 	Local *Server
 	Clock func() time.Time
 	// Metrics may be nil.
 	Metrics metrics.Registry
 }
 
-// Client keeps a table of accounts supplied.
+// Client obtains grants for a table of accounts from the customers' limiters.
 type Client struct {
 	cfg    Config
 	table  *ratelimit.Table
@@ -80,7 +81,7 @@
 // Table returns the accounts, for the request path.
 func (c *Client) Table() *ratelimit.Table { return c.table }
 
-// signal makes Run look for urgent demands. It does not block.
+// signal makes Run check for urgent demands. It does not block.
 func (c *Client) signal() {
 	select {
 	case c.wake <- struct{}{}:
@@ -88,7 +89,7 @@
 	}
 }
 
-// Run keeps the table supplied until the context ends.
+// Run sends due and urgent demands until the context ends.
 func (c *Client) Run(ctx context.Context) {
 	tick := time.NewTicker(TickInterval)
 	defer tick.Stop()
@@ -100,31 +101,33 @@
 			c.Tick(ctx)
 		case <-c.wake:
 			c.Urgent(ctx)
-			time.Sleep(urgentPause)
+			time.Sleep(minUrgentInterval)
 		}
 	}
 }
 
-// Tick sends the demands and charges that are due. It does not wait for answers.
+// Tick sends the demands and charges that are due. It does not wait for
+// responses.
 func (c *Client) Tick(ctx context.Context) {
 	c.send(ctx, c.table.Due(c.cfg.Clock()))
 }
 
-// Urgent sends the demands of accounts that ran low. It does not wait for
-// answers.
+// Urgent sends the demands of accounts that are running low. It does not wait
+// for responses.
 func (c *Client) Urgent(ctx context.Context) {
 	c.send(ctx, ratelimit.Due{Demands: c.table.Urgent(c.cfg.Clock())})
 }
 
-// send makes one call for each limiter.
+// send makes one call to each limiter. Demands and charges of customers without
+// a limiter are dropped.
 func (c *Client) send(ctx context.Context, due ratelimit.Due) {
 	for id, batch := range c.byLimiter(due) {
 		if id == c.cfg.Self.Instance {
-			c.apply(c.cfg.Local.Fold(batch.Demands))
+			c.apply(c.cfg.Local.HandleDemands(batch.Demands))
 			c.settle(batch.Charges, c.cfg.Local.Charge(batch.Charges))
 			continue
 		}
-		go c.ask(ctx, id, *batch)
+		go c.call(ctx, id, *batch)
 	}
 }
 
@@ -151,8 +154,9 @@
 	return batches
 }
 
-// ask makes one call. A failure needs no handling: the accounts ask again.
-func (c *Client) ask(ctx context.Context, id fleet.InstanceID, due ratelimit.Due) {
+// call makes one call. Failures are only counted: the accounts send their
+// demands again.
+func (c *Client) call(ctx context.Context, id fleet.InstanceID, due ratelimit.Due) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	c.calls.Inc(1)
@@ -168,11 +172,12 @@
 		return
 	}
 	c.apply(grants)
-	c.settle(due.Charges, paidOf(len(due.Charges), resp.Msg.GetUnpaid()))
+	c.settle(due.Charges, paidCharges(len(due.Charges), resp.Msg.GetUnpaid()))
 }
 
-// paidOf tells of each of n charges whether it was paid.
-func paidOf(n int, unpaid []uint32) []bool {
+// paidCharges reports for each of n charges whether it was paid; unpaid holds
+// the indexes of the others.
+func paidCharges(n int, unpaid []uint32) []bool {
 	paid := make([]bool, n)
 	for i := range paid {
 		paid[i] = !slices.Contains(unpaid, uint32(i))
@@ -216,12 +221,12 @@
 	return p
 }
 
-// Forget drops the clients of instances that left the fleet.
-func (c *Client) Forget(gone func(fleet.InstanceID) bool) {
+// Forget drops the clients of the instances for which removed returns true.
+func (c *Client) Forget(removed func(fleet.InstanceID) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id := range c.peers {
-		if gone(id) {
+		if removed(id) {
 			delete(c.peers, id)
 		}
 	}
--- a/allowance/codec.go
+++ b/allowance/codec.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// maxAmount bounds the numbers that a message may carry.
+	// maxAmount is the maximum absolute value of a number in a message.
 	maxAmount = 1e9
-	// maxEntries and maxLimits bound a message.
+	// maxEntries is the maximum number of demands and charges in a message,
+	// maxLimits the maximum number of limits in each of them.
 	maxEntries = 10_000
 	maxLimits  = 10_000
 )
 
 var errMalformed = errors.New("malformed limits message")
 
-// encodeDue makes one call of what one holder has to tell.
+// encodeDue returns the request for the demands and charges of one holder.
 func encodeDue(h fleet.Holder, due ratelimit.Due) *peerv1.AskRequest {
 	req := &peerv1.AskRequest{
 		Instance:    string(h.Instance),
@@ -72,7 +73,7 @@
 	return m
 }
 
-// decodeDue checks a call before any of it takes effect.
+// decodeDue decodes and validates a request before any of it is applied.
 func decodeDue(req *peerv1.AskRequest) (ratelimit.Due, error) {
 	if req.GetInstance() == "" || len(req.GetDemands())+len(req.GetCharges()) > maxEntries {
 		return ratelimit.Due{}, errMalformed
@@ -94,7 +95,7 @@
 		cs[i].Customer = fleet.CustomerID(m.GetCustomer())
 		cs[i].Limits = make([]ratelimit.LimitCharge, len(m.GetLimits()))
 		for j, l := range m.GetLimits() {
-			if !amount(l.GetTokens()) {
+			if !validAmount(l.GetTokens()) {
 				return nil, errMalformed
 			}
 			cs[i].Limits[j] = ratelimit.LimitCharge{ID: ratelimit.LimitID(l.GetId()), Tokens: float64(l.GetTokens())}
@@ -131,7 +132,7 @@
 	}
 	limits := make([]ratelimit.LimitDemand, len(ms))
 	for i, m := range ms {
-		if !amounts(m.GetWant(), m.GetOffered(), m.GetBusy()) || !amount(float32(math.Abs(float64(m.GetBalance())))) {
+		if !validAmounts(m.GetWant(), m.GetOffered(), m.GetBusy()) || !validAmount(float32(math.Abs(float64(m.GetBalance())))) {
 			return nil, errMalformed
 		}
 		if max(m.GetInFlight(), m.GetWantSlots(), m.GetSlots()) > maxAmount {
@@ -151,17 +152,17 @@
 	return limits, nil
 }
 
-func amounts(vs ...float32) bool {
+func validAmounts(vs ...float32) bool {
 	for _, v := range vs {
-		if !amount(v) {
+		if !validAmount(v) {
 			return false
 		}
 	}
 	return true
 }
 
-// amount tells whether a number is finite and within bounds.
-func amount(v float32) bool { return v >= 0 && v <= maxAmount }
+// validAmount reports whether v is finite and in [0, maxAmount].
+func validAmount(v float32) bool { return v >= 0 && v <= maxAmount }
 
 func encodeGrant(g *ratelimit.Grant) *peerv1.LimitsGrant {
 	m := &peerv1.LimitsGrant{
@@ -193,7 +194,7 @@
 		Limits:   make([]ratelimit.LimitGrant, len(m.GetLimits())),
 	}
 	for i, l := range m.GetLimits() {
-		if !amounts(l.GetTokens(), l.GetLevel(), l.GetShare()) || l.GetSlots() > maxAmount {
+		if !validAmounts(l.GetTokens(), l.GetLevel(), l.GetShare()) || l.GetSlots() > maxAmount {
 			return g, errMalformed
 		}
 		g.Limits[i] = ratelimit.LimitGrant{
--- a/allowance/doc.go
+++ b/allowance/doc.go
@@ -1,15 +1,15 @@
 // Package allowance carries the messages of package ratelimit between
 // instances.
 //
-// A Client at each instance asks for the customers with recent traffic there.
-// Demands that are due at the same moment for limiters at the same instance go
-// in one call. Most wait for the client's tick; an account that is about to
-// refuse requests is asked for at once. Calls are answered by the Server of the
-// instance that is the customer's limiter.
+// The Client of each instance sends demands for the customers with recent
+// traffic there. Demands that are due at the same time for limiters on the same
+// instance go into one call. Most wait for the client's tick; those of an
+// account that is about to refuse requests are sent immediately. The Server of
+// the instance that is the customer's limiter handles the calls.
 //
 // The request path never waits for a call: it takes from a ratelimit.Table. A
-// call that fails or is late has no effect; the account asks again.
+// failed or late call has no effect; the account sends its demand again.
 //
-// To keep calls few at many customers, limiters are placed by partition: all
+// To limit the number of calls with many customers, limiters are placed by partition: all
 // customers of one partition have the same limiter (Partition).
 package allowance
--- a/allowance/partition.go
+++ b/allowance/partition.go
@@ -16,8 +16,8 @@
 	return keys
 }
 
-// Partition returns the role under which a customer's limiter is placed by
-// rendezvous hashing.
+// Partition returns the rendezvous hashing key that selects the limiter of a
+// customer.
 func Partition(c fleet.CustomerID) string {
 	return partitionKeys[ratelimit.PartitionOf(c)]
 }
--- a/allowance/server.go
+++ b/allowance/server.go
@@ -14,28 +14,28 @@
 	"github.com/clementinereel/clementinereel/ratelimit"
 )
 
-// serverShards bounds contention among calls for different customers.
+// serverShards limits lock contention between calls for different customers.
 const serverShards = 16
 
-// Server is the limiter of the customers that instances ask it about. An
-// instance asked by mistake answers as well: two limiters at once overshoot
+// Server is the limiter of the customers for which it receives demands. It also
+// handles demands sent to the wrong instance: two concurrent limiters overshoot
 // by at most one more rate, while a refusal would stop the caller's traffic.
 type Server struct {
 	source ratelimit.Source
 	view   func() ratelimit.View
 	clock  func() time.Time
-	shards [serverShards]granters
+	shards [serverShards]shard
 }
 
 var _ peerv1connect.LimitsServiceHandler = (*Server)(nil)
 
-type granters struct {
+type shard struct {
 	mu         sync.Mutex
 	byCustomer map[fleet.CustomerID]*ratelimit.Granter
 }
 
-// NewServer returns a server without state. Source gives customers' limits in
-// force and view what this instance knows of the fleet.
+// NewServer returns a server without state. source returns the limits in force
+// for a customer, view this instance's view of the fleet.
 func NewServer(source ratelimit.Source, view func() ratelimit.View, clock func() time.Time) *Server {
 	s := &Server{source: source, view: view, clock: clock}
 	for i := range s.shards {
@@ -44,18 +44,18 @@
 	return s
 }
 
-// Handler returns the path and handler for the peers' mux.
+// Handler returns the path and handler for the peer server's mux.
 func (s *Server) Handler(opts ...connect.HandlerOption) (string, http.Handler) {
 	return peerv1connect.NewLimitsServiceHandler(s, opts...)
 }
 
-// Ask implements the service.
+// Ask implements peerv1connect.LimitsServiceHandler.
 func (s *Server) Ask(_ context.Context, req *connect.Request[peerv1.AskRequest]) (*connect.Response[peerv1.AskResponse], error) {
 	due, err := decodeDue(req.Msg)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
-	grants := s.Fold(due.Demands)
+	grants := s.HandleDemands(due.Demands)
 	resp := &peerv1.AskResponse{Grants: make([]*peerv1.LimitsGrant, len(grants))}
 	for i := range grants {
 		resp.Grants[i] = encodeGrant(&grants[i])
@@ -68,8 +68,9 @@
 	return connect.NewResponse(resp), nil
 }
 
-// Fold answers demands; customers without contract are left out.
-func (s *Server) Fold(ds []ratelimit.Demand) []ratelimit.Grant {
+// HandleDemands returns the grants for demands. It skips customers without a
+// contract.
+func (s *Server) HandleDemands(ds []ratelimit.Demand) []ratelimit.Grant {
 	now, view := s.clock(), s.view()
 	grants := make([]ratelimit.Grant, 0, len(ds))
 	for i := range ds {
@@ -77,14 +78,15 @@
 		if !ok {
 			continue
 		}
-		s.with(ds[i].Customer, func(g *ratelimit.Granter) {
+		s.withGranter(ds[i].Customer, func(g *ratelimit.Granter) {
 			grants = append(grants, g.Fold(now, limits, view, ds[i]))
 		})
 	}
 	return grants
 }
 
-// Charge tells of each charge whether it was paid.
+// Charge reports for each charge whether it was paid. Charges of customers
+// without a contract are not.
 func (s *Server) Charge(cs []ratelimit.Charge) []bool {
 	now, view := s.clock(), s.view()
 	paid := make([]bool, len(cs))
@@ -93,15 +95,15 @@
 		if !ok {
 			continue
 		}
-		s.with(cs[i].Customer, func(g *ratelimit.Granter) {
+		s.withGranter(cs[i].Customer, func(g *ratelimit.Granter) {
 			paid[i] = g.Charge(now, limits, view, cs[i])
 		})
 	}
 	return paid
 }
 
-// with calls f with a customer's granter.
-func (s *Server) with(c fleet.CustomerID, f func(*ratelimit.Granter)) {
+// withGranter calls f withGranter the customer's granter, under the lock of its shard.
+func (s *Server) withGranter(c fleet.CustomerID, f func(*ratelimit.Granter)) {
 	sh := &s.shards[ratelimit.PartitionOf(c)%serverShards]
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -113,8 +115,8 @@
 	f(g)
 }
 
-// Tick forgets customers whose state is as if they had never asked. Call it
-// every few seconds.
+// Tick removes the state of customers that have no contract or whose state has
+// expired, so that a new one is equivalent. Call it every few seconds.
 func (s *Server) Tick() {
 	now := s.clock()
 	for i := range s.shards {
@@ -122,7 +124,7 @@
 	}
 }
 
-func (sh *granters) expire(now time.Time, source ratelimit.Source) {
+func (sh *shard) expire(now time.Time, source ratelimit.Source) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for c, g := range sh.byCustomer {
@@ -133,7 +135,7 @@
 	}
 }
 
-// Len returns the number of customers that the server keeps state of.
+// Len returns the number of customers for which the server has state.
 func (s *Server) Len() int {
 	n := 0
 	for i := range s.shards {
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -11,24 +11,25 @@
 	"github.com/clementinereel/clementinereel/upstream"
 )
 
-// Job is one request to be tried.
+// Job is one request with its retry policy and deadline.
 type Job struct {
 	Policy   retry.Policy
 	Deadline time.Time
-	// NewRequest makes the request anew for each try.
+	// NewRequest creates the request for one try.
 	NewRequest func() *upstream.Request
-	// Added, if not nil, is told of each further try, in any goroutine.
-	Added func(retry.Action)
+	// OnExtraTry, if not nil, is called before each retry or hedge, possibly
+	// from another goroutine.
+	OnExtraTry func(retry.Action)
 }
 
-// Run tries the job until there is an answer or nothing more may be done.
-// The context bounds it; it should have the job's deadline.
+// Run tries the job until a try succeeds or no further try is allowed, and
+// returns the result of the last try. ctx should carry the job's deadline.
 func Run(ctx context.Context, svc *upstream.Service, job *Job) upstream.Result {
-	r := &run{ctx: ctx, svc: svc, job: job, giveUp: func(error) {}}
-	defer func() { r.giveUp(upstream.ErrGivenUp) }()
+	r := &run{ctx: ctx, svc: svc, job: job, cancelTries: func(error) {}}
+	defer func() { r.cancelTries(upstream.ErrGivenUp) }()
 	res := r.firstTry()
-	for !good(&res) {
-		r.note(&res)
+	for !succeeded(&res) {
+		r.recordFailure(&res)
 		var ok bool
 		if res, ok = r.next(); !ok {
 			return r.last
@@ -37,29 +38,30 @@
 	return res
 }
 
-// maxTries bounds the tries of one request: contracts allow fewer.
+// maxTries limits the tries of one request. Contracts allow fewer.
 const maxTries = 16
 
-// run is the state of one job. It belongs to the goroutine that called Run.
+// run is the state of one job. Only the goroutine that created it uses it.
 type run struct {
 	ctx context.Context
 	svc *upstream.Service
 	job *Job
 
-	tried    balancer.Search
-	tries    int
-	first    time.Time
-	last     upstream.Result
-	pending  retry.Decision // the retry or hedge that comes next
-	consumed bool
-
-	// A race has a hedge beside the first try.
-	running int
-	ended   chan *upstream.Result
-	giveUp  context.CancelCauseFunc
+	tried        balancer.Search
+	tries        int
+	first        time.Time
+	last         upstream.Result
+	pending      retry.Decision // the next retry or hedge
+	bodyConsumed bool
+
+	// Set while a hedge runs in parallel with the first try.
+	running     int
+	hedgeResult chan *upstream.Result
+	cancelTries context.CancelCauseFunc
 }
 
-// firstTry returns how the first try ended.
+// firstTry runs the first try, with a hedge if one is planned, and returns the
+// result of the first try.
 func (r *run) firstTry() upstream.Result {
 	r.first = time.Now()
 	r.svc.Budget().RecordFirstTry(r.first, r.job.Policy)
@@ -71,22 +73,23 @@
 	return r.send(r.ctx, nil)
 }
 
-// next returns how the next try ended, false if there is none.
+// next returns the result of the next try, or false if there is none.
 func (r *run) next() (upstream.Result, bool) {
 	if r.running > 0 {
-		if res, ok := r.receive(); ok {
+		if res, ok := r.awaitHedge(); ok {
 			return res, true
 		}
-		r.plan(r.last.Try) // now that nothing runs
+		r.plan(r.last.Try) // no try is running now
 	}
-	if r.pending.Action != retry.Retry || !r.pause(r.pending.After) || !r.allowed() {
+	if r.pending.Action != retry.Retry || !r.waitRetry(r.pending.After) || !r.reserveTry() {
 		return upstream.Result{}, false
 	}
 	return r.send(r.ctx, nil), true
 }
 
-// pause waits before a retry, unless the context ends first.
-func (r *run) pause(d time.Duration) bool {
+// waitRetry waits for d before a retry. It returns false if the context ends
+// first.
+func (r *run) waitRetry(d time.Duration) bool {
 	if d <= 0 {
 		return r.ctx.Err() == nil
 	}
@@ -100,12 +103,13 @@
 	}
 }
 
-// good tells whether a result ends the job with an answer.
-func good(res *upstream.Result) bool {
+// succeeded reports whether res ends the job with a successful response.
+func succeeded(res *upstream.Result) bool {
 	return res.Try == fleet.TryOK
 }
 
-// send makes one try in this goroutine. Place, if not nil, is told where.
+// send runs one try in the calling goroutine. If place is not nil, it receives
+// the target of the try.
 func (r *run) send(ctx context.Context, place *upstream.Place) upstream.Result {
 	ctx, cancel := r.tryContext(ctx)
 	defer cancel()
@@ -113,11 +117,12 @@
 	return r.svc.Send(ctx, r.job.Policy.Class, &search, place, r.job.NewRequest)
 }
 
-// waitFactor times the expected latency is the least time that a try is given
-// when another may follow it.
-const waitFactor = 4
+// minTryFactor times the expected latency is the minimum timeout of a try that
+// another may follow.
+const minTryFactor = 4
 
-// tryContext bounds a try so that time is left for those that may follow.
+// tryContext limits the duration of a lookup's try so that time remains for
+// further tries.
 func (r *run) tryContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	left := time.Until(r.job.Deadline)
 	rest := r.job.Policy.Attempts - r.tries + 1
@@ -125,22 +130,23 @@
 		return ctx, func() {}
 	}
 	share := left / time.Duration(rest)
-	share = max(share, waitFactor*r.svc.Expected(r.job.Policy.Class))
+	share = max(share, minTryFactor*r.svc.Expected(r.job.Policy.Class))
 	return context.WithTimeout(ctx, min(share, left))
 }
 
-// note keeps further tries away from a target that failed, and decides on the
-// next.
-func (r *run) note(res *upstream.Result) {
+// recordFailure excludes the failed target from further tries and plans the
+// next try.
+func (r *run) recordFailure(res *upstream.Result) {
 	r.last = *res
-	r.consumed = r.consumed || res.BodyUsed
+	r.bodyConsumed = r.bodyConsumed || res.BodyUsed
 	if res.Target.ID != "" {
 		r.tried.Tried.Add(res.Target.ID)
 	}
 	r.plan(res.Try)
 }
 
-// plan decides on the next try, after one ended or while one runs.
+// plan decides on the next try. last is the result of the try that ended, or 0
+// while the first try runs.
 func (r *run) plan(last fleet.TryResult) {
 	now := time.Now()
 	r.pending = retry.Decide(retry.Input{
@@ -153,9 +159,9 @@
 		Running:      r.running,
 		FirstTry:     r.first,
 		Expected:     r.svc.Expected(r.job.Policy.Class),
-		OtherTarget:  r.svc.HasMore(r.busy(last)),
+		OtherTarget:  r.svc.HasMore(r.excludedTargets(last)),
 		RetryAfter:   r.last.RetryAfter,
-		BodyConsumed: r.consumed,
+		BodyConsumed: r.bodyConsumed,
 		Random:       rand.Float64(),
 		Budget:       r.svc.Budget().State(now),
 	})
@@ -164,29 +170,30 @@
 	}
 }
 
-// busy counts the targets that are of no use to a further try: those that
-// failed and, while the first try runs, that one's.
-func (r *run) busy(last fleet.TryResult) int {
+// excludedTargets returns the number of targets that a further try must not
+// use: those that failed or, while the first try runs, its target.
+func (r *run) excludedTargets(last fleet.TryResult) int {
 	if last == 0 {
 		return 1
 	}
 	return r.tried.Tried.Len()
 }
 
-// allowed takes the planned try from the budget and counts it.
-func (r *run) allowed() bool {
+// reserveTry charges the planned try to the budget and counts it. It returns
+// false if the budget does not allow the try.
+func (r *run) reserveTry() bool {
 	if !r.svc.Budget().Spend(time.Now(), r.pending) {
 		return false
 	}
-	if r.job.Added != nil {
-		r.job.Added(r.pending.Action)
+	if r.job.OnExtraTry != nil {
+		r.job.OnExtraTry(r.pending.Action)
 	}
 	r.tries++
 	return true
 }
 
-// Answered tells whether a result has an answer that may be passed on to the
-// caller: a whole one that the target does not take back as unrun.
-func Answered(res *upstream.Result) bool {
+// HasResponse reports whether res has a response that may be passed on to the
+// caller: a complete one that does not state that the request was not run.
+func HasResponse(res *upstream.Result) bool {
 	return res.Answer != nil && !res.Try.NotRun()
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -16,14 +16,14 @@
 	"github.com/clementinereel/clementinereel/retry"
 )
 
-// firstTime serves the first request by one handler and all others by another,
-// whichever target they come to, and counts the requests.
-type firstTime struct {
+// sequence is a handler that serves the first request with one handler and all
+// others with another, across all targets, and counts the requests.
+type sequence struct {
 	first, others http.HandlerFunc
 	count         atomic.Int64
 }
 
-func (f *firstTime) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *sequence) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if f.count.Add(1) == 1 {
 		f.first(w, r)
 		return
@@ -31,8 +31,8 @@
 	f.others(w, r)
 }
 
-// TestTries brings about each way in which a first try ends. The second
-// target always answers well.
+// TestTries covers each way in which a first try can end. A second try always
+// succeeds.
 func TestTries(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -44,8 +44,8 @@
 		{"a lookup that is answered", fleet.Lookup, echo, fleet.TryOK, 1},
 		{"a lookup that fails", fleet.Lookup, failing, fleet.TryOK, 2},
 		{"a lookup whose connection breaks", fleet.Lookup, broken, fleet.TryOK, 2},
-		{"a lookup whose answer is cut", fleet.Lookup, cut(false), fleet.TryOK, 2},
-		{"a lookup whose chunks are cut", fleet.Lookup, cut(true), fleet.TryOK, 2},
+		{"a lookup whose answer is cut", fleet.Lookup, truncated(false), fleet.TryOK, 2},
+		{"a lookup whose chunks are cut", fleet.Lookup, truncated(true), fleet.TryOK, 2},
 		{"a lookup that is shed", fleet.Lookup, refusing("shed"), fleet.TryOK, 2},
 		{"a lookup at a draining target", fleet.Lookup, refusing("draining"), fleet.TryOK, 2},
 		{"a lookup at a cold target", fleet.Lookup, refusing("cold"), fleet.TryOK, 2},
@@ -53,8 +53,8 @@
 		{"a confirmation that is answered", fleet.Confirmation, echo, fleet.TryOK, 1},
 		{"a confirmation that fails", fleet.Confirmation, failing, fleet.TryError, 1},
 		{"a confirmation whose connection breaks", fleet.Confirmation, broken, fleet.TryReset, 1},
-		{"a confirmation whose answer is cut", fleet.Confirmation, cut(false), fleet.TryTruncated, 1},
-		{"a confirmation whose chunks are cut", fleet.Confirmation, cut(true), fleet.TryTruncated, 1},
+		{"a confirmation whose answer is cut", fleet.Confirmation, truncated(false), fleet.TryTruncated, 1},
+		{"a confirmation whose chunks are cut", fleet.Confirmation, truncated(true), fleet.TryTruncated, 1},
 		{"a confirmation that is shed", fleet.Confirmation, refusing("shed"), fleet.TryOK, 2},
 		{"a confirmation at a draining target", fleet.Confirmation, refusing("draining"), fleet.TryOK, 2},
 		{"a confirmation at a cold target", fleet.Confirmation, refusing("cold"), fleet.TryOK, 2},
@@ -62,8 +62,8 @@
 		{"an upload that is answered", fleet.Upload, echo, fleet.TryOK, 1},
 		{"an upload that fails", fleet.Upload, failing, fleet.TryError, 1},
 		{"an upload whose connection breaks", fleet.Upload, broken, fleet.TryReset, 1},
-		{"an upload whose answer is cut", fleet.Upload, cut(false), fleet.TryTruncated, 1},
-		{"an upload whose chunks are cut", fleet.Upload, cut(true), fleet.TryTruncated, 1},
+		{"an upload whose answer is cut", fleet.Upload, truncated(false), fleet.TryTruncated, 1},
+		{"an upload whose chunks are cut", fleet.Upload, truncated(true), fleet.TryTruncated, 1},
 		{"an upload that is shed unread", fleet.Upload, refusing("shed"), fleet.TryOK, 2},
 		{"an upload at a draining target", fleet.Upload, refusing("draining"), fleet.TryOK, 2},
 		{"an upload that is shed when begun", fleet.Upload, refusingLate, fleet.TryShed, 1},
@@ -74,14 +74,14 @@
 				continue
 			}
 			t.Run(fmt.Sprintf("%s/%d bytes", c.name, len(body)), func(t *testing.T) {
-				f := &firstTime{first: c.first, others: echo}
+				f := &sequence{first: c.first, others: echo}
 				svc := newService(t, f, f)
 				res := runJob(retried(job(c.class, body), 2), svc)
 				assert.Equal(t, res.Try, c.want, "%v", res.Err)
 				assert.Equal(t, f.count.Load(), c.tries)
-				assert.Equal(t, Answered(&res), res.Answer != nil && c.want != fleet.TryShed)
+				assert.Equal(t, HasResponse(&res), res.Answer != nil && c.want != fleet.TryShed)
 				if c.want == fleet.TryOK {
-					answered(t, &res, body)
+					assertResponse(t, &res, body)
 				}
 				assert.Assert(t, c.want != fleet.TryTruncated || res.Answer == nil)
 			})
@@ -89,30 +89,30 @@
 	}
 }
 
-// TestHedge lets the first try hang at its target. The answer comes from the
-// second target, and the first sees its try cancelled.
+// TestHedge checks that the hedge's response is returned when the first try
+// hangs, and that the first try is cancelled at its target.
 func TestHedge(t *testing.T) {
 	cancelled := make(chan struct{})
-	f := &firstTime{others: echo, first: func(_ http.ResponseWriter, r *http.Request) {
+	f := &sequence{others: echo, first: func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		close(cancelled)
 	}}
 	var added []retry.Action
 	j := hedged(job(fleet.Lookup, ""))
-	j.Added = func(a retry.Action) { added = append(added, a) }
+	j.OnExtraTry = func(a retry.Action) { added = append(added, a) }
 	res := runJob(j, newService(t, f, f))
-	answered(t, &res, "")
+	assertResponse(t, &res, "")
 	assert.DeepEqual(t, added, []retry.Action{retry.Hedge})
 	select {
 	case <-cancelled:
-	case <-time.After(generous):
+	case <-time.After(testTimeout):
 		t.Fatal("the first try was not cancelled")
 	}
 }
 
-// TestHedgeGoesElsewhere has one target of two hang for good: a hedge never
-// joins its first try there. Where there is one target only, none begins.
-func TestHedgeGoesElsewhere(t *testing.T) {
+// TestHedgeUsesOtherTarget lets one of two targets hang: a hedge must not go to
+// the target of its first try. With a single target no hedge starts.
+func TestHedgeUsesOtherTarget(t *testing.T) {
 	hang := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	for range 10 {
 		svc := newService(t, http.HandlerFunc(hang), http.HandlerFunc(echo))
@@ -120,23 +120,23 @@
 			j := hedged(job(fleet.Lookup, ""))
 			j.Policy.HedgeAfter = 5 * time.Millisecond
 			res := runJob(j, svc)
-			answered(t, &res, "")
+			assertResponse(t, &res, "")
 		}
 	}
-	f := &firstTime{others: echo, first: func(w http.ResponseWriter, r *http.Request) {
-		time.Sleep(20 * time.Millisecond) // lets a hedge begin, if there is one
+	f := &sequence{others: echo, first: func(w http.ResponseWriter, r *http.Request) {
+		time.Sleep(20 * time.Millisecond) // time for a hedge to start
 		echo(w, r)
 	}}
 	res := runJob(hedged(job(fleet.Lookup, "")), newService(t, f))
-	answered(t, &res, "")
+	assertResponse(t, &res, "")
 	assert.Equal(t, f.count.Load(), int64(1))
 }
 
 // TestHedgeFailure lets the hedge fail while the first try still runs: the
-// first try's answer counts.
+// response of the first try is returned.
 func TestHedgeFailure(t *testing.T) {
 	failed := make(chan struct{})
-	f := &firstTime{
+	f := &sequence{
 		first: func(w http.ResponseWriter, r *http.Request) { <-failed; echo(w, r) },
 		others: func(w http.ResponseWriter, r *http.Request) {
 			defer close(failed)
@@ -144,12 +144,12 @@
 		},
 	}
 	res := runJob(hedged(job(fleet.Lookup, "")), newService(t, f, f))
-	answered(t, &res, "")
+	assertResponse(t, &res, "")
 	assert.Equal(t, f.count.Load(), int64(2))
 }
 
-// TestHedgeOverBudget has two slow requests and a budget for one hedge. The
-// other gets the answer to its first try.
+// TestHedgeOverBudget runs two slow requests with a budget for one hedge. The
+// other request gets the response of its first try.
 func TestHedgeOverBudget(t *testing.T) {
 	var count atomic.Int64
 	both, hedge := make(chan struct{}), make(chan struct{})
@@ -180,22 +180,24 @@
 	assert.Equal(t, count.Load(), int64(3))
 }
 
-// TestNoHedgeOfOtherClasses sets a hedge up for classes that have none.
+// TestNoHedgeOfOtherClasses checks that only lookups are hedged, even if the
+// policy of another class has a hedge delay.
 func TestNoHedgeOfOtherClasses(t *testing.T) {
 	for _, class := range []fleet.Class{fleet.Confirmation, fleet.Upload} {
-		f := &firstTime{others: echo, first: func(w http.ResponseWriter, r *http.Request) {
-			time.Sleep(20 * time.Millisecond) // lets a hedge begin, if there is one
+		f := &sequence{others: echo, first: func(w http.ResponseWriter, r *http.Request) {
+			time.Sleep(20 * time.Millisecond) // time for a hedge to start
 			echo(w, r)
 		}}
 		res := runJob(hedged(job(class, "body")), newService(t, f, f))
-		answered(t, &res, "body")
+		assertResponse(t, &res, "body")
 		assert.Equal(t, f.count.Load(), int64(1))
 	}
 }
 
-// TestLateAnswersReachNobodyElse has many callers whose tries overlap, with
-// hedges, late and failed answers. Each gets the answer to its own request.
-func TestLateAnswersReachNobodyElse(t *testing.T) {
+// TestLateResponsesReachNoOtherCaller runs many callers with overlapping tries,
+// hedges, late responses and failures. Each caller must get the response to its
+// own request.
+func TestLateResponsesReachNoOtherCaller(t *testing.T) {
 	var n atomic.Int64
 	h := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		k := n.Add(1)
@@ -214,7 +216,7 @@
 			for k := range 20 {
 				nonce := fmt.Sprintf("%d-%d", caller, k)
 				j := hedged(job(fleet.Lookup, nonce))
-				j.Added = func(a retry.Action) {
+				j.OnExtraTry = func(a retry.Action) {
 					if a == retry.Hedge {
 						hedges.Add(1)
 					}
@@ -225,7 +227,7 @@
 				}
 				whole.Add(1)
 				if got := string(res.Answer.Body); got != nonce {
-					t.Errorf("caller of %s got the answer %q", nonce, got)
+					t.Errorf("caller of %s got the response %q", nonce, got)
 				}
 			}
 		})
@@ -235,11 +237,11 @@
 	assert.Assert(t, hedges.Load() > 0)
 }
 
-// TestCallerLeaves ends the caller's context: the try is cancelled at its
-// target and speaks against nobody.
-func TestCallerLeaves(t *testing.T) {
+// TestCallerCancels cancels the caller's context: the try is cancelled at its
+// target, counts as cancelled rather than failed, and is not retried.
+func TestCallerCancels(t *testing.T) {
 	ctx, leave := context.WithCancel(context.Background())
-	f := &firstTime{others: echo, first: func(_ http.ResponseWriter, r *http.Request) {
+	f := &sequence{others: echo, first: func(_ http.ResponseWriter, r *http.Request) {
 		leave()
 		<-r.Context().Done()
 	}}
@@ -248,9 +250,9 @@
 	assert.Equal(t, f.count.Load(), int64(1))
 }
 
-// TestBudget lets every try fail: what is added stays within the budget.
+// TestBudget lets every try fail: the number of retries stays within the budget.
 func TestBudget(t *testing.T) {
-	f := &firstTime{first: failing, others: failing}
+	f := &sequence{first: failing, others: failing}
 	svc := newService(t, f, f, f)
 	const requests = 100
 	for range requests {
@@ -262,7 +264,7 @@
 	assert.Assert(t, f.count.Load() <= requests+requests/10+1, "%d tries", f.count.Load())
 }
 
-// TestNoTarget sends to a service whose only target is leaving.
+// TestNoTarget sends a request to a service whose only target is leaving.
 func TestNoTarget(t *testing.T) {
 	res := runJob(job(fleet.Confirmation, "body"), newService(t))
 	assert.Assert(t, res.Unrun())
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -1,10 +1,11 @@
 // Package dispatch runs the tries of one request at the targets of a service.
 //
-// Package retry decides, this package carries out: it starts the first try,
-// adds a retry when one has failed or a hedge when one is slow, takes the
-// first good answer and cancels the other tries. Each try belongs to the one
-// request that started it, so a late answer can reach nobody else.
+// Package retry makes the decisions; this package carries them out. It starts
+// the first try, adds a retry after a failure or a hedge (a parallel second
+// try) when the first is slow, returns the first successful response and
+// cancels the other tries. Tries are never shared between requests, so a late
+// response cannot reach another caller.
 //
-// Only lookups have more than one try at a time. For the other classes a try
-// follows another only if the target certainly did not run the request.
+// Only lookups run more than one try at a time. Requests of other classes are
+// tried again only if the target certainly did not run the request.
 package dispatch
--- a/dispatch/fixture_test.go
+++ b/dispatch/fixture_test.go
@@ -23,11 +23,11 @@
 	"github.com/clementinereel/clementinereel/upstream"
 )
 
-// generous bounds requests whose end no test waits for.
-const generous = 20 * time.Second
+// testTimeout is the deadline of requests that are not expected to reach it.
+const testTimeout = 20 * time.Second
 
-// newService returns a service whose targets are served by the handlers. With
-// none, its one target is leaving.
+// newService returns a service with one target per handler. Without handlers,
+// its only target is leaving.
 func newService(tb testing.TB, targets ...http.Handler) *upstream.Service {
 	tb.Helper()
 	const id fleet.ServiceID = "daugava/main"
@@ -52,7 +52,7 @@
 	self := func(fleet.ServiceID) fleet.InstanceID { return "i-0" }
 	table := evidence.NewTable("i-0", "a", evidence.Settings{}, self, nil, time.Now, nil)
 	tb.Cleanup(table.Close)
-	conns := pool.New(pool.Config{ContinueTimeout: generous})
+	conns := pool.New(pool.Config{ContinueTimeout: testTimeout})
 	tb.Cleanup(conns.Close)
 	set := upstream.NewSet(upstream.Env{Via: upstream.Via{Instance: "i-0", Zone: "a"}, Pool: conns, Evidence: table})
 	members := balancer.NewMembers(balancer.Member{ID: "i-0", Zone: "a"}, nil)
@@ -62,9 +62,9 @@
 	return set.Service(id)
 }
 
-// job is a request of a class with a body; an empty one has none.
+// job returns a job of the class. An empty body means a request without one.
 func job(class fleet.Class, body string) *Job {
-	j := &Job{Policy: retry.Policy{Class: class, Attempts: 1}, Deadline: time.Now().Add(generous)}
+	j := &Job{Policy: retry.Policy{Class: class, Attempts: 1}, Deadline: time.Now().Add(testTimeout)}
 	one := strings.NewReader(body)
 	j.NewRequest = func() *upstream.Request {
 		req := &upstream.Request{
@@ -82,13 +82,13 @@
 	return j
 }
 
-// hedged makes a job one that hedges at once.
+// hedged lets j hedge immediately and returns it.
 func hedged(j *Job) *Job {
 	j.Policy.Attempts, j.Policy.Percent, j.Policy.HedgeAfter = 2, 100, time.Nanosecond
 	return j
 }
 
-// retried makes a job one that may retry.
+// retried allows j the given number of attempts and returns it.
 func retried(j *Job, attempts int) *Job {
 	j.Policy.Attempts, j.Policy.Percent = attempts, 100
 	return j
@@ -100,20 +100,21 @@
 	return Run(ctx, svc, j)
 }
 
-// echo answers with the request's body.
+// echo responds with the request's body.
 func echo(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	_, _ = w.Write(body)
 }
 
-// broken reads the request and breaks the connection.
+// broken reads the request and closes the connection.
 func broken(_ http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	panic(http.ErrAbortHandler)
 }
 
-// cut answers with a part of what it announces, or with chunks that do not end.
-func cut(chunked bool) http.HandlerFunc {
+// truncated returns a handler whose response ends before its Content-Length or,
+// if chunked, before the last chunk.
+func truncated(chunked bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		if !chunked {
@@ -125,13 +126,14 @@
 	}
 }
 
-// failing answers 500.
+// failing responds with status 500.
 func failing(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	w.WriteHeader(http.StatusInternalServerError)
 }
 
-// refusing says that the request did not run, without reading its body.
+// refusing returns a handler that reports the request as not run without
+// reading its body.
 func refusing(word string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Target-Not-Run", word)
@@ -139,14 +141,14 @@
 	}
 }
 
-// refusingLate reads a part of the body before it refuses.
+// refusingLate refuses the request after it has read part of the body.
 func refusingLate(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.ReadFull(r.Body, make([]byte, 1))
 	refusing("shed")(w, r)
 }
 
-// answered fails unless the result is this whole answer.
-func answered(t *testing.T, res *upstream.Result, body string) {
+// assertResponse fails the test unless res is a successful response with body.
+func assertResponse(t *testing.T, res *upstream.Result, body string) {
 	t.Helper()
 	assert.Equal(t, res.Try, fleet.TryOK, "%v", res.Err)
 	assert.Assert(t, res.Answer != nil)
--- a/dispatch/race.go
+++ b/dispatch/race.go
@@ -8,29 +8,30 @@
 	"github.com/clementinereel/clementinereel/upstream"
 )
 
-// race runs the first try in this goroutine and, once it is slow, a hedge in
-// another. It returns how the first try ended; receive waits for the hedge,
-// which cancels the first try if it brings the answer. The context of both
-// ends with the job.
+// race runs the first try in the calling goroutine and, after the hedge delay,
+// a hedge in another. It returns the result of the first try; awaitHedge waits
+// for the hedge, which cancels the first try if it succeeds. The context of
+// both is cancelled when the job ends.
 func (r *run) race() upstream.Result {
 	ctx, cancel := context.WithCancelCause(r.ctx)
-	r.giveUp = cancel
+	r.cancelTries = cancel
 	h := &hedge{
-		ctx: ctx, giveUp: cancel, svc: r.svc, job: r.job, planned: r.pending,
-		ended: make(chan *upstream.Result, 1),
+		ctx: ctx, cancelTries: cancel, svc: r.svc, job: r.job, planned: r.pending,
+		result: make(chan *upstream.Result, 1),
 	}
-	t := time.AfterFunc(r.pending.After, h.join)
+	t := time.AfterFunc(r.pending.After, h.start)
 	res := r.send(ctx, &h.first)
 	if !t.Stop() {
-		r.running, r.ended = 1, h.ended
+		r.running, r.hedgeResult = 1, h.result
 	}
 	return res
 }
 
-// receive waits for the hedge; false means that it was not allowed.
-func (r *run) receive() (upstream.Result, bool) {
+// awaitHedge returns the result of the hedge, or false if the hedge was not
+// allowed.
+func (r *run) awaitHedge() (upstream.Result, bool) {
 	r.running = 0
-	res := <-r.ended
+	res := <-r.hedgeResult
 	if res == nil {
 		return upstream.Result{}, false
 	}
@@ -38,30 +39,32 @@
 	return *res, true
 }
 
-// hedge is the second try of a race. It shares no state with the first.
+// hedge is a second try, run in parallel with a slow first one. Apart from the
+// target of the first try, the two share no mutable state.
 type hedge struct {
-	ctx     context.Context
-	giveUp  context.CancelCauseFunc
-	svc     *upstream.Service
-	job     *Job
-	planned retry.Decision
-	first   upstream.Place // where the first try is
-	ended   chan *upstream.Result
+	ctx         context.Context
+	cancelTries context.CancelCauseFunc
+	svc         *upstream.Service
+	job         *Job
+	planned     retry.Decision
+	first       upstream.Place // target of the first try
+	result      chan *upstream.Result
 }
 
-// join begins the hedge if it is still allowed, and tells how it ended.
-func (h *hedge) join() {
+// start runs the hedge if it is still allowed and sends its result, or nil, to
+// the channel.
+func (h *hedge) start() {
 	r := &run{ctx: h.ctx, svc: h.svc, job: h.job, tries: 1, pending: h.planned}
-	if h.ctx.Err() != nil || !r.allowed() {
-		h.ended <- nil
+	if h.ctx.Err() != nil || !r.reserveTry() {
+		h.result <- nil
 		return
 	}
 	if id := h.first.Target(); id != "" {
 		r.tried.Tried.Add(id)
 	}
 	res := r.send(h.ctx, nil)
-	h.ended <- &res
-	if good(&res) {
-		h.giveUp(upstream.ErrGivenUp)
+	h.result <- &res
+	if succeeded(&res) {
+		h.cancelTries(upstream.ErrGivenUp)
 	}
 }
--- a/instance/operations.go
+++ b/instance/operations.go
@@ -137,7 +137,7 @@
 func conclude(req *operate.Request, res *upstream.Result) operate.Result {
 	out := operate.Result{Target: res.Target.ID}
 	switch {
-	case dispatch.Answered(res):
+	case dispatch.HasResponse(res):
 		out.Outcome = fleet.Completed
 		out.Answer = operation.NewCompleted(res.Answer.Status, res.Answer.Header, res.Answer.Body)
 	case res.Unrun():
--- a/proxy/admit.go
+++ b/proxy/admit.go
@@ -55,7 +55,7 @@
 		Policy:     retry.PolicyOf(x.route),
 		Deadline:   x.deadline,
 		NewRequest: newRequest,
-		Added:      func(a retry.Action) { h.decided(x, addedNames[a], "") },
+		OnExtraTry: func(a retry.Action) { h.decided(x, addedNames[a], "") },
 	})
 }
 
--- a/proxy/lookup.go
+++ b/proxy/lookup.go
@@ -27,7 +27,7 @@
 
 // conclude passes a try's answer on, or says why there is none.
 func (h *Handler) conclude(x *exchange, res *upstream.Result) {
-	if !dispatch.Answered(res) {
+	if !dispatch.HasResponse(res) {
 		h.refuse(x, tryProblem(res))
 		return
 	}
