--- a/outlier/aggregator.go
+++ b/outlier/aggregator.go
@@ -8,7 +8,7 @@
 )
 
 // Aggregator pools the evidence of all instances about one service. It
-// belongs to one goroutine.
+// must be used from one goroutine.
 type Aggregator struct {
 	cfg  Config
 	lim  limits
@@ -16,53 +16,54 @@
 
 	service   fleet.ServiceID
 	judge     *judge
-	cases     []*caseFile
+	cases     []*targetCase
 	reporters map[fleet.InstanceID]*reporter
-	// numbered is how many reporters were ever known, to tell them apart.
-	numbered int
+	// lastReporter is the number given to the newest reporter.
+	lastReporter int
 	// number identifies the verdicts in force; it grows with each change.
 	number int64
 	median time.Duration
 	rates  [channels]float64
-	// folded is when the last report came.
-	folded time.Time
-	// dirty means that something was folded since the last tick, and told
-	// that a target which had not lately said so is cold or draining.
-	dirty, told bool
-	// active means that the passing of time alone may change something.
+	// reportedAt is when the last report arrived.
+	reportedAt time.Time
+	// dirty means that counts were applied since the last tick, selfReported
+	// that a target newly reported being cold or draining.
+	dirty, selfReported bool
+	// active means that the passage of time alone may change the result.
 	active bool
 }
 
-// caseFile is what an aggregator keeps for one target beside the evidence.
-type caseFile struct {
+// targetCase is an aggregator's state of one target, apart from the evidence.
+type targetCase struct {
 	target fleet.Target
-	// stays are the ejections under way: one for everyone, or one a zone.
-	stays   []*stay
-	records map[fleet.Zone]record
-	coldAt  time.Time
-	// drainingAt is when the target last said that it is draining.
+	// ejections holds the current ejections: one fleet-wide, or one per zone.
+	ejections []*ejection
+	records   map[fleet.Zone]record
+	coldAt    time.Time
+	// drainingAt is when the target last reported that it is draining.
 	drainingAt time.Time
 	// shedAt is when the target last shed load.
 	shedAt time.Time
 }
 
-// reporter is what an aggregator knows of one reporting instance.
+// reporter is an aggregator's state of one reporting instance.
 type reporter struct {
 	source
-	// heard is when the last call came, folded the last report not known.
-	heard, folded time.Time
+	// lastContact is when the last report arrived, lastApplied when the last new
+	// one did.
+	lastContact, lastApplied time.Time
 
 	session int64
 	seq     uint64
-	// based means that the session began before this aggregator knew of it:
-	// the first counts of a target are a starting point and no evidence.
-	based   bool
-	counts  map[fleet.TargetID]Counts
-	median  time.Duration
-	samples uint32
+	// joinedLate means that the session began before this aggregator received
+	// its reports: the first counts of a target are a baseline, not evidence.
+	joinedLate bool
+	counts     map[fleet.TargetID]Counts
+	median     time.Duration
+	samples    uint32
 }
 
-// NewAggregator returns an aggregator that has heard of nothing.
+// NewAggregator returns an aggregator without targets or reports.
 func NewAggregator(cfg Config, self fleet.InstanceID) *Aggregator {
 	lim := cfg.limits()
 	a := &Aggregator{
@@ -84,7 +85,7 @@
 // SetTargets replaces the announced targets of the service.
 func (a *Aggregator) SetTargets(ts []fleet.Target) {
 	a.judge.setTargets(ts)
-	old := map[fleet.TargetID]*caseFile{}
+	old := map[fleet.TargetID]*targetCase{}
 	for _, c := range a.cases {
 		old[c.target.ID] = c
 	}
@@ -92,7 +93,7 @@
 	for _, r := range a.judge.rows {
 		c := old[r.target.ID]
 		if c == nil {
-			c = &caseFile{records: map[fleet.Zone]record{}}
+			c = &targetCase{records: map[fleet.Zone]record{}}
 		}
 		c.target = r.target
 		a.cases = append(a.cases, c)
@@ -100,10 +101,10 @@
 	}
 }
 
-// Fold takes in a report and answers with the verdicts in force. A report
-// that comes twice, or after a later one, changes nothing.
+// Fold applies a report and returns the verdicts in force. Duplicate reports and
+// those older than the last one have no effect.
 func (a *Aggregator) Fold(now time.Time, r Report) Verdicts {
-	a.folded = now
+	a.reportedAt = now
 	rep := a.reporter(now, r)
 	if r.Session == rep.session && r.Seq > rep.seq {
 		rep.seq = r.Seq
@@ -115,19 +116,19 @@
 	return v
 }
 
-// reporter finds the sender, and opens its session if it is a new one.
+// reporter returns the state of the sender and starts a session if it is new.
 func (a *Aggregator) reporter(now time.Time, r Report) *reporter {
 	rep := a.reporters[r.From]
 	if rep == nil {
-		a.numbered++
-		rep = &reporter{source: source{reporter: a.numbered, zone: r.Zone}}
+		a.lastReporter++
+		rep = &reporter{source: source{reporter: a.lastReporter, zone: r.Zone}}
 		a.reporters[r.From] = rep
 	}
-	rep.heard = now
+	rep.lastContact = now
 	rep.zone = r.Zone
 	if r.Session > rep.session {
 		rep.session, rep.seq = r.Session, 0
-		rep.based = r.Acked > 0
+		rep.joinedLate = r.Acked > 0
 		rep.counts = make(map[fleet.TargetID]Counts, len(r.Targets))
 	}
 	return rep
@@ -141,23 +142,23 @@
 		}
 		last, had := rep.counts[t.Target]
 		rep.counts[t.Target] = t.Counts
-		if !had && rep.based {
+		if !had && rep.joinedLate {
 			continue
 		}
 		a.foldTarget(now, i, rep, t.Counts.minus(last), r.Suspect)
 	}
-	rep.folded = now
+	rep.lastApplied = now
 	a.dirty = true
 }
 
 func (a *Aggregator) foldTarget(now time.Time, i int, from *reporter, c Counts, suspect bool) {
 	file := a.cases[i]
 	if c.Cold > 0 {
-		a.told = a.told || now.Sub(file.coldAt) > toldInterval
+		a.selfReported = a.selfReported || now.Sub(file.coldAt) > selfReportInterval
 		file.coldAt = now
 	}
 	if c.Draining > 0 {
-		a.told = a.told || now.Sub(file.drainingAt) > toldInterval
+		a.selfReported = a.selfReported || now.Sub(file.drainingAt) > selfReportInterval
 		file.drainingAt = now
 	}
 	if c.Shed > 0 {
@@ -166,16 +167,16 @@
 	if suspect {
 		return
 	}
-	if s := file.stayOf(from.zone); s.aside() {
+	if s := file.ejectionFor(from.zone); s.excluded() {
 		s.add(c.tallies())
 		return
 	}
-	a.judge.add(i, seen{source: from.source, since: from.folded, tallies: c.tallies()})
+	a.judge.add(i, observation{source: from.source, since: from.lastApplied, tallies: c.tallies()})
 }
 
-// stayOf returns the ejection that holds for a zone, or nil.
-func (f *caseFile) stayOf(z fleet.Zone) *stay {
-	for _, s := range f.stays {
+// ejectionFor returns the ejection in force for a zone, or nil.
+func (f *targetCase) ejectionFor(z fleet.Zone) *ejection {
+	for _, s := range f.ejections {
 		if s.zone == "" || s.zone == z {
 			return s
 		}
@@ -189,33 +190,33 @@
 	v := Verdicts{Service: a.service, From: a.self, Number: a.number, Median: a.median}
 	v.FailureRate, v.SlowRate = a.rates[failure], a.rates[slowness]
 	for _, f := range a.cases {
-		for _, s := range f.stays {
+		for _, s := range f.ejections {
 			v.Entries = append(v.Entries, s.verdict(now, f.target.ID))
 		}
-		v.Entries = f.appendTold(v.Entries, now, a.cfg)
+		v.Entries = f.appendSelfReported(v.Entries, now, a.cfg)
 	}
 	return v
 }
 
-// appendTold adds what the target said of itself.
-func (f *caseFile) appendTold(vs []Verdict, now time.Time, cfg Config) []Verdict {
+// appendSelfReported appends the states reported by the target itself.
+func (f *targetCase) appendSelfReported(vs []Verdict, now time.Time, cfg Config) []Verdict {
 	if left := cfg.SlowStart - now.Sub(f.coldAt); left > 0 {
 		vs = append(vs, Verdict{Target: f.target.ID, Phase: Warming, Remaining: left})
 	}
-	if left := drainHold - now.Sub(f.drainingAt); left > 0 {
+	if left := drainTTL - now.Sub(f.drainingAt); left > 0 {
 		vs = append(vs, Verdict{Target: f.target.ID, Phase: Draining, Remaining: left})
 	}
 	return vs
 }
 
-// Tick judges the targets by what was folded since the last tick. It returns
-// the verdicts in force; whenever their Number differs from the last one,
-// every reporter should be sent them.
+// Tick evaluates the targets with the reports since the last tick and returns the
+// verdicts in force. Whenever their Number changes, they should be sent to every
+// reporter.
 func (a *Aggregator) Tick(now time.Time) Verdicts {
 	if !a.dirty && !a.active {
 		return a.Verdicts(now)
 	}
-	a.forgetReporters(now)
+	a.expireReporters(now)
 	for i, f := range a.cases {
 		a.judge.rows[i].muted = f.muted(now, a.cfg)
 		a.judge.rows[i].warming = f.warming(now, a.cfg)
@@ -228,8 +229,8 @@
 	a.judge.step(now)
 	a.rates = a.judge.rates()
 	changed := a.advance(now)
-	changed = a.accuse(now) || a.told || changed
-	a.told = false
+	changed = a.accuse(now) || a.selfReported || changed
+	a.selfReported = false
 	if changed {
 		a.number = max(now.UnixNano(), a.number+1)
 	}
@@ -238,28 +239,28 @@
 	return v
 }
 
-func (f *caseFile) muted(now time.Time, cfg Config) bool {
-	return f.returning() || f.warming(now, cfg) || now.Sub(f.shedAt) < busyHold
+func (f *targetCase) muted(now time.Time, cfg Config) bool {
+	return f.returning() || f.warming(now, cfg) || now.Sub(f.shedAt) < busyTTL
 }
 
-// warming tells whether the target joined or was cold within a slow start.
-func (f *caseFile) warming(now time.Time, cfg Config) bool {
+// warming reports whether the target joined or was cold within a slow start.
+func (f *targetCase) warming(now time.Time, cfg Config) bool {
 	return now.Sub(f.target.Since) < cfg.SlowStart || now.Sub(f.coldAt) < cfg.SlowStart
 }
 
-func (a *Aggregator) forgetReporters(now time.Time) {
+func (a *Aggregator) expireReporters(now time.Time) {
 	for id, r := range a.reporters {
-		if now.Sub(r.heard) > reporterKept {
+		if now.Sub(r.lastContact) > reporterTTL {
 			delete(a.reporters, id)
 		}
 	}
 }
 
-// Unused tells whether no instance has reported for so long that the
-// aggregator may be dropped.
-func (a *Aggregator) Unused(now time.Time) bool { return now.Sub(a.folded) > reporterKept }
+// Unused reports whether no instance has reported for so long that the aggregator
+// may be removed.
+func (a *Aggregator) Unused(now time.Time) bool { return now.Sub(a.reportedAt) > reporterTTL }
 
-// Reporters lists the instances that reported lately.
+// Reporters returns the instances that have reported recently, sorted.
 func (a *Aggregator) Reporters() []fleet.InstanceID {
 	ids := make([]fleet.InstanceID, 0, len(a.reporters))
 	for id := range a.reporters {
@@ -269,7 +270,8 @@
 	return ids
 }
 
-// medianLatency is the median of the reporters' medians by their samples.
+// medianLatency returns the median of the reporters' medians, weighted by their
+// samples, or 0 with too few samples.
 func (a *Aggregator) medianLatency() time.Duration {
 	medians := make([]*reporter, 0, len(a.reporters))
 	total := uint64(0)
@@ -279,7 +281,7 @@
 			total += uint64(r.samples)
 		}
 	}
-	if total < medianSamples {
+	if total < minMedianSamples {
 		return 0
 	}
 	slices.SortFunc(medians, func(x, y *reporter) int { return int(x.median - y.median) })
@@ -292,12 +294,12 @@
 	return 0
 }
 
-// advance moves the ejections on and tells whether any changed its phase.
+// advance updates the phases of the ejections and reports whether any changed.
 func (a *Aggregator) advance(now time.Time) bool {
 	changed := false
 	for i, f := range a.cases {
-		kept := f.stays[:0]
-		for _, s := range f.stays {
+		kept := f.ejections[:0]
+		for _, s := range f.ejections {
 			phase, level := s.phase, s.level
 			if s.advance(now, a.cfg, a.lim) {
 				f.records[s.zone] = record{level: s.level, returnedAt: now}
@@ -307,8 +309,8 @@
 			changed = changed || s.phase != phase || s.level != level
 			kept = append(kept, s)
 		}
-		f.stays = kept
-		a.judge.mark(a.judge.rows[i], f.stayOf("").aside())
+		f.ejections = kept
+		a.judge.setExcluded(a.judge.rows[i], f.ejectionFor("").excluded())
 	}
 	return changed
 }
--- a/outlier/bench_test.go
+++ b/outlier/bench_test.go
@@ -72,7 +72,7 @@
 		d, now := benchDetector(n), epoch
 		for i := 0; b.Loop(); i++ {
 			now = now.Add(100 * time.Millisecond)
-			d.Record(d.seats[i%n].target.ID, fleet.TryOK, fakeLatency)
+			d.Record(d.targets[i%n].target.ID, fleet.TryOK, fakeLatency)
 			if r := d.Tick(now).Report; r != nil {
 				d.ApplyVerdicts(now, Verdicts{From: "a", Session: r.Session, Ack: r.Seq})
 			}
@@ -80,7 +80,7 @@
 	})
 }
 
-// BenchmarkFold folds a report about ten targets.
+// BenchmarkFold applies a report about ten targets.
 func BenchmarkFold(b *testing.B) {
 	benchEach(b, func(b *testing.B, n int) {
 		a, now := NewAggregator(testConfig(0.5), "agg"), epoch
@@ -114,7 +114,7 @@
 	})
 }
 
-// BenchmarkDetectorMemory reports the heap that one detector takes.
+// BenchmarkDetectorMemory reports the heap size of one detector.
 func BenchmarkDetectorMemory(b *testing.B) {
 	benchEach(b, func(b *testing.B, n int) {
 		var before, after runtime.MemStats
--- a/outlier/chart.go
+++ b/outlier/chart.go
@@ -23,8 +23,8 @@
 	return ReasonFailing
 }
 
-// The rate of bad tries that a healthy target is taken to have: at least
-// baseFloor, and basePrior as long as fewer than priorTries tries are known.
+// The assumed rate of bad tries of a healthy target: at least baseFloor; basePrior
+// is the prior, with the weight of priorTries tries.
 var (
 	baseFloor = [channels]float64{failure: 0.001, slowness: 0.005}
 	basePrior = [channels]float64{failure: 0.01, slowness: 0.02}
@@ -32,7 +32,7 @@
 
 const (
 	priorTries = 100
-	// contemporaryTries weighs the base rate against the others' tries since
+	// contemporaryTries is the weight of the base rate relative to the others' tries since
 	// a sum left zero.
 	contemporaryTries = 5
 	// contemporaryShare times the bad tries at a target is how many tries at
@@ -41,8 +41,8 @@
 	baseCeiling       = 0.9
 )
 
-// excesses are the alternatives: shares of tries, beyond those that fail
-// anyway, that a sick target fails.
+// excesses are the alternatives: the shares of tries that an unhealthy target
+// fails in addition to the base rate.
 var excesses = [...]float64{0.1, 0.3, 0.9}
 
 // tally is a number of good and bad tries.
@@ -53,7 +53,7 @@
 func (t tally) times(f float64) tally { return tally{t.good * f, t.bad * f} }
 func (t tally) tries() float64        { return t.good + t.bad }
 
-// rate is the share of bad tries, with weight tries of a prior rate added.
+// rate returns the share of bad tries, with weight tries of a prior rate added.
 func (t tally) rate(prior, weight float64) float64 {
 	return (t.bad + prior*weight) / (t.tries() + weight)
 }
@@ -68,37 +68,36 @@
 	}
 }
 
-// badStep is the log-likelihood ratio of one bad try at a base rate.
+// badStep returns the log-likelihood ratio of one bad try at a base rate.
 func badStep(base, excess float64) float64 {
 	return math.Log((base + (1-base)*excess) / base)
 }
 
-// goodStep is that of one good try; it does not depend on the base rate.
+// goodStep returns that of one good try; it does not depend on the base rate.
 func goodStep(excess float64) float64 { return math.Log1p(-excess) }
 
-// likelihood is the log-likelihood ratio of a tally.
+// likelihood returns the log-likelihood ratio of a tally.
 func likelihood(t tally, base, excess float64) float64 {
 	return t.good*goodStep(excess) + t.bad*badStep(base, excess)
 }
 
-// source is who saw the tries: a reporter's number and its zone.
+// source identifies who observed the tries: a reporter's number and its zone.
 type source struct {
 	reporter int
 	zone     fleet.Zone
 }
 
-// seen is what one source saw. since is when its last report before was
-// taken in; zero: the tries are from just now.
-type seen struct {
+// observation holds the tries seen by one source. since is when its previous
+// report was applied; zero: the tries are current.
+type observation struct {
 	source
 	since   time.Time
 	tallies tallies
 }
 
-// after is the part of the evidence that is taken to be from after a time.
-// Good tries are spread evenly over the time reported, bad ones are reported
-// at once.
-func (s seen) after(at, now time.Time, ch channel) tally {
+// after returns the estimated part of the evidence from after a time. Good tries
+// are spread evenly over the reported time; bad ones are reported immediately.
+func (s observation) after(at, now time.Time, ch channel) tally {
 	t := s.tallies[ch]
 	if s.since.IsZero() || !s.since.Before(at) {
 		return t
@@ -146,8 +145,8 @@
 }
 
 // step adds the evidence of one tick, good tries first.
-func (c *chart) step(now time.Time, from []seen, ch channel, base float64, row, all tally) {
-	if c.sum > 0 && now.Sub(c.lastBad) > staleAfter {
+func (c *chart) step(now time.Time, from []observation, ch channel, base float64, row, all tally) {
+	if c.sum > 0 && now.Sub(c.lastBad) > sumTimeout {
 		c.reset()
 	}
 	var tick tally
@@ -172,7 +171,7 @@
 	}
 }
 
-func (c *chart) share(now time.Time, from []seen, ch channel) {
+func (c *chart) share(now time.Time, from []observation, ch channel) {
 	for _, s := range from {
 		t := s.after(c.startedAt, now, ch)
 		if c.startedAt.Equal(now) {
--- a/outlier/config.go
+++ b/outlier/config.go
@@ -15,7 +15,7 @@
 	DefaultFloorPercent        = 70
 )
 
-// Config says how the targets of one service are judged.
+// Config configures the detection of unhealthy targets of one service.
 type Config struct {
 	// FalseEjectionWeight is from 0 (only detection time matters) to 1 (only
 	// false ejections matter).
@@ -23,21 +23,21 @@
 	// BaseEjection is how long a target's first ejection lasts before trial
 	// traffic. Each further ejection doubles it.
 	BaseEjection time.Duration
-	// MaxEjection bounds the doubling. A target that stays well for as long
-	// has one ejection of its past forgotten.
+	// MaxEjection bounds the doubling. For each such period that a
+	// target stays healthy, one past ejection is disregarded.
 	MaxEjection time.Duration
 	// SlowStart is how long a joined, cold or returned target gets less than
 	// its full share of work.
 	SlowStart time.Duration
-	// FloorPercent is the share of the joined targets that ejections leave
-	// in use, 1 to 100.
+	// FloorPercent is the minimum percentage of the joined targets that
+	// ejections leave in use, 1 to 100.
 	FloorPercent int
-	// Slots is how many requests one target serves at once.
+	// Slots is how many requests one target serves concurrently.
 	Slots int
 }
 
-// FromContract takes the config from a service of a contract, with the
-// contract's defaults for what is left out.
+// FromContract returns the config of a service of a contract, with defaults for
+// omitted fields.
 func FromContract(s contract.Service) Config {
 	c := Config{
 		FalseEjectionWeight: DefaultFalseEjectionWeight,
@@ -69,58 +69,59 @@
 const (
 	thresholdSpeed   = 15.0
 	thresholdCaution = 20.0
-	// referenceRate is the tries a second at which the thresholds hold. They
-	// are lower with less evidence, by at most scarcity, so that the false
-	// ejections an hour stay the same and not those a try.
-	referenceRate = 100.0
-	scarcity      = 4.0
-	// settleSpeed and settleCaution bound how long an accusation must hold.
+	// referenceRate is the number of tries per second that the thresholds are
+	// meant for. They are lower with less evidence, by at most
+	// maxThresholdReduction, to keep the false ejections per hour constant
+	// instead of those per try.
+	referenceRate         = 100.0
+	maxThresholdReduction = 4.0
+	// settleSpeed and settleCaution bound how long an accusation must
+	// persist.
 	settleSpeed   = 100 * time.Millisecond
 	settleCaution = 500 * time.Millisecond
 	// trialGoodSpeed and trialGoodCaution are the good tries that end a trial.
 	trialGoodSpeed   = 4
 	trialGoodCaution = 10
-	// trialRelapse is the log-likelihood at which a trial has failed.
-	trialRelapse = 5.0
+	// trialFailureScore is the log-likelihood at which a trial has failed.
+	trialFailureScore = 5.0
 	// returnedFactor scales the threshold for a target in slow start after
 	// an ejection.
 	returnedFactor = 0.5
-	// crowdShare is the share of the targets above which looking sick at
-	// once is blamed on the network or the observer.
-	crowdShare = 0.5
-	// troubleFactor raises the threshold where the others' rate of bad tries,
-	// or of slow ones right now, is above troubleBase: in a service that is
-	// in trouble as a whole, failures come in bursts that hit single targets.
+	// maxSuspectShare is the share of targets that look unhealthy at once above
+	// which the network or the observer is assumed to be the cause.
+	maxSuspectShare = 0.5
+	// troubleFactor raises the threshold if the others' rate of bad tries, or
+	// their current rate of slow ones, is above troubleBase: in a service that
+	// is degraded as a whole, failures come in bursts that hit single targets.
 	troubleFactor = 5.0
 	troubleBase   = 0.05
-	// slowFactor times the service's median latency is a slow try.
+	// slowFactor times the service's median latency is the limit of a slow try.
 	slowFactor = 3.5
-	// slowSlack is the least time by which a slow try passes the median.
+	// slowSlack is the minimum time by which a slow try exceeds the median.
 	slowSlack = 5 * time.Millisecond
 
 	trialWeight = 0.05
 	startWeight = 0.1
-	// drainHold is how long a target gets no work after it said that it is
-	// draining.
-	drainHold = 3 * time.Second
+	// drainTTL is how long a target gets no work after it reported draining.
+	drainTTL = 3 * time.Second
 	// mutedFactor raises the threshold for targets that are busy, cold or
-	// returning: work that waits there times out in bursts.
+	// returning: work queued there times out in bursts.
 	mutedFactor = 1.5
-	// busyHold is how long after a target shed load its slowness is no
-	// evidence: it said itself that it is full.
-	busyHold = 3 * time.Second
-	// toldInterval is how often an aggregator passes on at once that a target
-	// still says it is cold or draining.
-	toldInterval = time.Second
-	// staleAfter is how long a sum without a further bad try is kept.
-	staleAfter = 30 * time.Second
-	// reporterKept is how long an aggregator remembers a silent reporter.
-	reporterKept = 5 * time.Minute
+	// busyTTL is how long after a target shed load its slowness is no evidence,
+	// since it reported itself that it is full.
+	busyTTL = 3 * time.Second
+	// selfReportInterval is the minimum interval between immediate updates that
+	// a target is still cold or draining.
+	selfReportInterval = time.Second
+	// sumTimeout is how long a sum is kept without a further bad try.
+	sumTimeout = 30 * time.Second
+	// reporterTTL is how long an aggregator keeps a silent reporter.
+	reporterTTL = 5 * time.Minute
 
-	// FlushInterval is the least time between two reports of a detector.
+	// FlushInterval is the minimum time between two reports of a detector.
 	FlushInterval = 100 * time.Millisecond
 	// RoutineInterval is the time between reports that carry no bad try.
-	// Detector.SetRoutine stretches it.
+	// Detector.SetRoutine extends it.
 	RoutineInterval = time.Second
 )
 
@@ -140,11 +141,11 @@
 	}
 }
 
-// trialLimit is how long a trial lasts that too few tries decide.
+// trialLimit returns the duration of a trial with too few tries to decide it.
 func (c Config) trialLimit() time.Duration { return max(c.BaseEjection, 5*time.Second) }
 
-// stayFor is how long the ejection after so many earlier ones lasts.
-func (c Config) stayFor(level int) time.Duration {
+// ejectionTime returns the duration of an ejection after level earlier ones.
+func (c Config) ejectionTime(level int) time.Duration {
 	d := c.BaseEjection
 	for range level {
 		if d *= 2; d >= c.MaxEjection {
--- a/outlier/counters.go
+++ b/outlier/counters.go
@@ -8,12 +8,12 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// openSlots is how many open tries of one service an instance watches at
-// once. Further tries give evidence only when they end.
+// openSlots is how many open tries of one service an instance tracks
+// concurrently. Further tries give evidence only when they end.
 const openSlots = 256
 
-// probes is how many slots are looked at for a free one.
-const probes = 8
+// maxSlotProbes is how many slots are checked for a free one.
+const maxSlotProbes = 8
 
 // counter counts the tries at one target between two ticks. The request path
 // adds, the tick drains. It fills a cache line.
@@ -45,8 +45,8 @@
 	counter atomic.Pointer[counter]
 }
 
-// recorder is the part of a detector that the request path writes to. All of
-// its methods but drain and scan may be called at any time from anywhere.
+// recorder is the part of a detector that the request path writes to. All
+// methods except drain and scan are safe for concurrent use.
 type recorder struct {
 	counters  atomic.Pointer[map[fleet.TargetID]*counter]
 	dirty     atomic.Bool
@@ -57,8 +57,8 @@
 	slots     [openSlots]openTry
 }
 
-// Try is a try under way, from Start to Done. The zero Try is one that is
-// not watched; Done then does nothing.
+// Try is an open try, from Start to Done. The zero Try is not tracked; Done does
+// nothing for it.
 type Try struct {
 	counter *counter
 	slot    *openTry
@@ -86,7 +86,7 @@
 	return (*m)[t]
 }
 
-// start begins to watch a try.
+// start begins tracking a try.
 func (r *recorder) start(t fleet.TargetID, now time.Time) Try {
 	c := r.counter(t)
 	if c == nil {
@@ -94,7 +94,7 @@
 	}
 	at := max(now.UnixNano(), 1)
 	first := r.next.Add(1)
-	for i := range uint32(probes) {
+	for i := range uint32(maxSlotProbes) {
 		s := &r.slots[(first+i)%openSlots]
 		if s.since.Load() == 0 && s.since.CompareAndSwap(0, at) {
 			s.counter.Store(c)
@@ -118,7 +118,8 @@
 	r.record(t.counter, res, latency, counted)
 }
 
-// record counts a try; counted tells that it was counted as slow before.
+// record counts a try; counted means that it has already been
+// counted as slow.
 func (r *recorder) record(c *counter, res fleet.TryResult, latency time.Duration, counted bool) {
 	switch {
 	case res == fleet.TryOK:
@@ -151,7 +152,7 @@
 	}
 }
 
-// scan counts the open tries that have become slow by now.
+// scan counts the open tries that have become slow.
 func (r *recorder) scan(now time.Time) {
 	limit := r.slowAfter.Load()
 	if r.open.Load() <= 0 || limit == math.MaxInt64 {
--- a/outlier/detector.go
+++ b/outlier/detector.go
@@ -8,35 +8,35 @@
 )
 
 const (
-	// medianSamples is how many good tries a median is taken from at least.
-	medianSamples = 30
-	// medianInterval and halveInterval are how often the latency yardstick
-	// is renewed and how often the samples behind it are halved.
+	// minMedianSamples is the minimum number of good tries for a median.
+	minMedianSamples = 30
+	// medianInterval and halveInterval are the intervals at which the median
+	// latency is recomputed and its samples are halved.
 	medianInterval = time.Second
 	halveInterval  = 10 * time.Second
-	// pooledKept is how long the rates heard from an aggregator are used.
-	pooledKept = 10 * time.Second
+	// pooledRateTTL is how long rates received from an aggregator are used.
+	pooledRateTTL = 10 * time.Second
 )
 
-// Detector judges the targets of one service as seen from one instance, and
-// joins to it what aggregators say. Start, Done and Record may be called from
-// anywhere at any time; all other methods belong to one goroutine.
+// Detector evaluates the targets of one service as seen from one instance and
+// combines the result with the aggregators' verdicts. Start, Done and Record are
+// safe for concurrent use; all other methods must be called from one goroutine.
 type Detector struct {
 	cfg  Config
 	lim  limits
 	self fleet.InstanceID
 	zone fleet.Zone
 
-	rec     recorder
-	service fleet.ServiceID
-	judge   *judge
-	seats   []*seat
-	held    map[fleet.InstanceID]*heldVerdicts
-	out     outbox
+	rec      recorder
+	service  fleet.ServiceID
+	judge    *judge
+	targets  []*targetState
+	received map[fleet.InstanceID]*receivedVerdicts
+	out      outbox
 
 	snapshot *Snapshot
 	suspect  bool
-	// active means that the passing of time alone may change something.
+	// active means that the passage of time alone may change the result.
 	active bool
 
 	pooledMedian time.Duration
@@ -45,41 +45,43 @@
 	halvedAt     time.Time
 }
 
-// seat is what a detector keeps for one target beside the evidence.
-type seat struct {
+// targetState is a detector's state of one target, apart from the evidence.
+type targetState struct {
 	target  fleet.Target
 	counter *counter
-	// stay is the instance's own ejection, if any; record remembers it.
-	stay   *stay
-	record record
+	// ejection is the instance's own ejection, if any; record is the history of
+	// its ejections.
+	ejection *ejection
+	record   record
 	// pooled is the strictest verdict of an aggregator, if any.
 	pooled *Verdict
-	// elsewhere means that another zone is told not to use the target.
-	elsewhere bool
+	// ejectedElsewhere means that the target is ejected for another zone.
+	ejectedElsewhere bool
 	// startedAt, coldAt and drainingAt are when the target joined and when
-	// it last said that it is cold or draining.
+	// it last reported being cold or draining.
 	startedAt, coldAt, drainingAt time.Time
 	// shedAt is when the target last shed load.
 	shedAt time.Time
 	sent   sentCounts
 }
 
-// heldVerdicts are the last verdicts heard from one aggregator.
-type heldVerdicts struct {
+// receivedVerdicts holds the latest verdicts from one aggregator.
+type receivedVerdicts struct {
 	at       time.Time
 	verdicts Verdicts
 }
 
-// Output is what a tick of a detector hands out.
+// Output is the result of a tick of a detector.
 type Output struct {
 	// Snapshot is what the request path should use from now on.
 	Snapshot *Snapshot
-	// Report is for the service's aggregator; nil: nothing worth sending.
+	// Report is for the service's aggregator; nil: nothing to send.
 	Report *Report
 	// Events are the changes of targets' states since the last tick.
 	Events []Event
-	// Suspect means that so many targets look sick from this instance that
-	// it blames its own network. It ejects nothing by its own evidence then.
+	// Suspect means that so many targets look unhealthy from this instance
+	// that its own network is the likely cause. It then ejects nothing on its
+	// own evidence.
 	Suspect bool
 }
 
@@ -88,8 +90,8 @@
 	lim := cfg.limits()
 	d := &Detector{
 		cfg: cfg, lim: lim, self: self, zone: zone,
-		judge: newJudge(lim.threshold, lim.settle),
-		held:  map[fleet.InstanceID]*heldVerdicts{},
+		judge:    newJudge(lim.threshold, lim.settle),
+		received: map[fleet.InstanceID]*receivedVerdicts{},
 	}
 	d.rec.slowAfter.Store(math.MaxInt64)
 	return d
@@ -106,28 +108,29 @@
 func (d *Detector) SetTargets(now time.Time, ts []fleet.Target) {
 	d.rec.setTargets(ts)
 	d.judge.setTargets(ts)
-	old := map[fleet.TargetID]*seat{}
-	for _, s := range d.seats {
+	old := map[fleet.TargetID]*targetState{}
+	for _, s := range d.targets {
 		old[s.target.ID] = s
 	}
-	d.seats = d.seats[:0:0]
+	d.targets = d.targets[:0:0]
 	for _, r := range d.judge.rows {
 		s := old[r.target.ID]
 		if s == nil {
-			s = &seat{}
+			s = &targetState{}
 		}
 		if !s.target.Since.Equal(r.target.Since) {
 			s.startedAt = earlier(r.target.Since, now)
 		}
 		s.target = r.target
 		s.counter = d.rec.counter(r.target.ID)
-		d.seats = append(d.seats, s)
+		d.targets = append(d.targets, s)
 		d.service = r.target.Service
 	}
 	d.active = true
 }
 
-// earlier guards against a log whose clock is ahead.
+// earlier returns the earlier time. It guards against timestamps from a log
+// whose clock is ahead.
 func earlier(a, b time.Time) time.Time {
 	if a.After(b) {
 		return b
@@ -135,26 +138,26 @@
 	return a
 }
 
-// Start tells that a try at a target begins. Done must be called with the
-// returned Try, once. Between the two, a try that stays open for too long is
-// already evidence.
+// Start records the start of a try at a target. Done must be called exactly once
+// with the returned Try. A try that stays open for too long counts as evidence
+// before Done.
 func (d *Detector) Start(t fleet.TargetID, now time.Time) Try { return d.rec.start(t, now) }
 
-// Done tells how a try ended and how long it took; do not Record it as well.
+// Done records the result and latency of a try; do not Record it as well.
 func (d *Detector) Done(t Try, r fleet.TryResult, latency time.Duration) {
 	d.rec.done(t, r, latency)
 }
 
-// Record tells how a try ended that Start was not called for.
+// Record records the result of a try that Start was not called for.
 func (d *Detector) Record(t fleet.TargetID, r fleet.TryResult, latency time.Duration) {
 	if c := d.rec.counter(t); c != nil {
 		d.rec.record(c, r, latency, false)
 	}
 }
 
-// Tick folds what was recorded since the last tick and returns what follows.
-// It should be called every 50 to 100 ms; it costs next to nothing while a
-// service is idle and well.
+// Tick processes the tries recorded since the last tick and returns the result.
+// It should be called every 50 to 100 ms; it is cheap while a service is idle
+// and healthy.
 func (d *Detector) Tick(now time.Time) Output {
 	d.rec.scan(now)
 	dirty := d.rec.dirty.Swap(false)
@@ -162,10 +165,10 @@
 		return Output{Snapshot: d.snapshot, Suspect: d.suspect}
 	}
 	d.measure(now)
-	if now.Sub(d.pooledAt) > pooledKept {
+	if now.Sub(d.pooledAt) > pooledRateTTL {
 		d.judge.pooled = [channels]float64{}
 	}
-	d.joinVerdicts(now)
+	d.mergeVerdicts(now)
 	if dirty {
 		d.collect(now)
 	}
@@ -180,7 +183,7 @@
 	return Output{Snapshot: d.snapshot, Report: d.report(now), Events: events, Suspect: d.suspect}
 }
 
-// measure renews the yardstick of latency.
+// measure recomputes the median latency and the limit for slow tries.
 func (d *Detector) measure(now time.Time) {
 	if now.Sub(d.medianAt) < medianInterval {
 		return
@@ -189,9 +192,9 @@
 	median, samples := d.rec.latencies.median()
 	d.out.median, d.out.samples = median, samples
 	if d.pooledMedian > 0 {
-		median, samples = d.pooledMedian, medianSamples
+		median, samples = d.pooledMedian, minMedianSamples
 	}
-	if samples >= medianSamples {
+	if samples >= minMedianSamples {
 		d.rec.slowAfter.Store(int64(slowLimit(median)))
 		d.judge.median = median
 	}
@@ -205,9 +208,9 @@
 	return max(time.Duration(slowFactor*float64(median)), median+slowSlack)
 }
 
-// collect drains the counters and hands the evidence where it belongs.
+// collect drains the counters into the reports and the evidence of each target.
 func (d *Detector) collect(now time.Time) {
-	for i, s := range d.seats {
+	for i, s := range d.targets {
 		c := s.counter.drain()
 		if c == (Counts{}) {
 			continue
@@ -223,75 +226,75 @@
 			s.shedAt = now
 		}
 		switch {
-		case s.stay.aside():
-			s.stay.add(c.tallies())
-		case s.pooledAside():
+		case s.ejection.excluded():
+			s.ejection.add(c.tallies())
+		case s.pooledExcluded():
 		default:
-			d.judge.add(i, seen{source: source{zone: d.zone}, tallies: c.tallies()})
+			d.judge.add(i, observation{source: source{zone: d.zone}, tallies: c.tallies()})
 		}
 	}
 }
 
-func (s *seat) pooledAside() bool {
+func (s *targetState) pooledExcluded() bool {
 	return s.pooled != nil && s.pooled.Phase != Returning
 }
 
-// accuse ejects, for this instance alone, the targets that its own evidence
-// accuses.
+// accuse ejects, for this instance only, the targets accused by its own
+// evidence.
 func (d *Detector) accuse(now time.Time) {
-	hot, crowded := d.judge.crowd()
+	hot, crowded := d.judge.suspects()
 	d.suspect = crowded
 	if len(hot) == 0 || crowded {
 		return
 	}
-	for i, s := range d.seats {
+	for i, s := range d.targets {
 		r := d.judge.rows[i]
-		if s.target.State != fleet.Joined || s.stay.aside() || s.pooledAside() {
+		if s.target.State != fleet.Joined || s.ejection.excluded() || s.pooledExcluded() {
 			continue
 		}
 		factor := 1.0
-		if s.stay != nil {
+		if s.ejection != nil {
 			factor = returnedFactor
 		}
 		if a, ok := d.judge.accuse(now, r, hot, factor); ok {
 			d.eject(now, s, a)
-			s.stay.base = d.judge.bases(r)
-			d.judge.mark(r, true)
+			s.ejection.base = d.judge.bases(r)
+			d.judge.setExcluded(r, true)
 		}
 	}
 }
 
-func (d *Detector) eject(now time.Time, s *seat, a accusation) {
+func (d *Detector) eject(now time.Time, s *targetState, a accusation) {
 	level := s.record.next(now, d.cfg)
-	if s.stay != nil {
-		level = s.stay.level + 1
+	if s.ejection != nil {
+		level = s.ejection.level + 1
 	}
-	s.stay = newStay(now, d.cfg, d.zone, level, a)
+	s.ejection = newEjection(now, d.cfg, d.zone, level, a)
 }
 
-// advance moves the instance's own ejections on.
+// advance updates the phases of the instance's own ejections.
 func (d *Detector) advance(now time.Time) {
-	d.active = d.suspect || len(d.held) > 0
-	for i, s := range d.seats {
+	d.active = d.suspect || len(d.received) > 0
+	for i, s := range d.targets {
 		r := d.judge.rows[i]
-		if s.stay != nil && s.stay.advance(now, d.cfg, d.lim) {
-			s.record = record{level: s.stay.level, returnedAt: now}
-			s.stay = nil
+		if s.ejection != nil && s.ejection.advance(now, d.cfg, d.lim) {
+			s.record = record{level: s.ejection.level, returnedAt: now}
+			s.ejection = nil
 		}
-		d.judge.mark(r, s.stay.aside() || s.pooledAside())
+		d.judge.setExcluded(r, s.ejection.excluded() || s.pooledExcluded())
 		r.warming = d.warming(s, now)
-		r.muted = r.warming || s.stay != nil || s.pooled != nil || now.Sub(s.shedAt) < busyHold
+		r.muted = r.warming || s.ejection != nil || s.pooled != nil || now.Sub(s.shedAt) < busyTTL
 		d.active = d.active || r.muted || !s.drainingAt.IsZero()
 	}
 	d.active = d.active || d.judge.undecided()
 }
 
-// warming tells whether the target joined or was cold within a slow start.
-func (d *Detector) warming(s *seat, now time.Time) bool {
-	return now.Sub(s.warmFrom()) < d.cfg.SlowStart
+// warming reports whether the target joined or was cold within a slow start.
+func (d *Detector) warming(s *targetState, now time.Time) bool {
+	return now.Sub(s.warmingSince()) < d.cfg.SlowStart
 }
 
-func (s *seat) warmFrom() time.Time { return later(s.coldAt, s.startedAt) }
+func (s *targetState) warmingSince() time.Time { return later(s.coldAt, s.startedAt) }
 
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
--- a/outlier/fake_test.go
+++ b/outlier/fake_test.go
@@ -10,8 +10,8 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// fakeFleet drives detectors and one aggregator on a fake clock: callers with
-// a rate, targets that answer by a schedule, reports that arrive or not.
+// fakeFleet drives detectors and one aggregator on a fake clock. It simulates
+// callers with a given rate, targets that respond by a schedule, and report loss.
 type fakeFleet struct {
 	cfg        Config
 	targets    []fleet.Target
@@ -22,14 +22,14 @@
 	now        time.Time
 	start      time.Time
 	rate       float64
-	// answer is how a target serves a try that starts now.
+	// answer returns the result and latency of a try that starts now.
 	answer  func(zone fleet.Zone, instance, target int, at time.Duration) (fleet.TryResult, time.Duration)
 	deliver func(from int) bool
 	pushed  int64
 	open    tries
 	events  []Event
-	// sick counts the tries started at each target, firstFailed the first
-	// failure seen anywhere, and lastStart the last try begun there.
+	// started counts the tries started at each target, firstFailed is the time
+	// of the first failure on any instance, lastStart that of the last try.
 	started     []int
 	firstFailed []time.Duration
 	lastStart   []time.Duration
@@ -37,7 +37,7 @@
 	ejected     map[fleet.TargetID]bool
 }
 
-type openEnd struct {
+type openTryEnd struct {
 	at       time.Time
 	instance int
 	target   int
@@ -46,12 +46,12 @@
 	latency  time.Duration
 }
 
-type tries []openEnd
+type tries []openTryEnd
 
 func (t tries) Len() int           { return len(t) }
 func (t tries) Less(i, j int) bool { return t[i].at.Before(t[j].at) }
 func (t tries) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *tries) Push(x any)        { *t = append(*t, x.(openEnd)) }
+func (t *tries) Push(x any)        { *t = append(*t, x.(openTryEnd)) }
 func (t *tries) Pop() any {
 	last := (*t)[len(*t)-1]
 	*t = (*t)[:len(*t)-1]
@@ -103,7 +103,7 @@
 	return f
 }
 
-// usual is a lognormal service time around fakeLatency.
+// usual returns a lognormal service time around fakeLatency.
 func (f *fakeFleet) usual() time.Duration {
 	return time.Duration(float64(fakeLatency) * math.Exp(0.4*f.rng.NormFloat64()))
 }
@@ -133,7 +133,7 @@
 		f.started[t]++
 		f.lastStart[t] = at.Sub(f.start)
 		try := f.detectors[i].Start(f.targets[t].ID, at)
-		heap.Push(&f.open, openEnd{at.Add(latency), i, t, try, res, latency})
+		heap.Push(&f.open, openTryEnd{at.Add(latency), i, t, try, res, latency})
 	}
 }
 
@@ -161,7 +161,7 @@
 
 func (f *fakeFleet) finish() {
 	for len(f.open) > 0 && !f.open[0].at.After(f.now) {
-		e := heap.Pop(&f.open).(openEnd)
+		e := heap.Pop(&f.open).(openTryEnd)
 		f.detectors[e.instance].Done(e.try, e.res, e.latency)
 		if e.res.Failed() && f.firstFailed[e.target] == 0 {
 			f.firstFailed[e.target] = e.at.Sub(f.start)
--- a/outlier/floor.go
+++ b/outlier/floor.go
@@ -6,25 +6,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// need is how many joined targets must keep their full share.
-func need(percent, joined int) int {
+// minFullTargets returns how many joined targets must keep their full share.
+func minFullTargets(percent, joined int) int {
 	return (joined*percent + 99) / 100
 }
 
-// holdFloor gives targets back until at least min(least, usable) usable
-// targets have their full share, where usable are the joined targets that
-// are neither draining nor warming up. A target that other zones' instances
-// are told not to use is not counted as in full use. The order depends on the ejections
-// alone, so that instances which know the same ejections use the same
-// targets: first those nearest to their return, then what only this instance
-// or its zone accuses, then the weakest accusations, then by hash.
-func holdFloor(entries []*entry, least int) {
+// enforceFloor restores ejected targets until at least min(least, usable) usable
+// targets have their full share, where usable are the joined targets that are
+// neither draining nor warming up. A target that is ejected for other zones does
+// not count as in full use. The order depends on the ejections alone, so that
+// instances with the same ejections use the same targets: first those closest to
+// their return, then those accused only by this instance or its zone, then the
+// weakest accusations, then by hash.
+func enforceFloor(entries []*entry, least int) {
 	full := 0
 	var aside []*entry
 	for _, e := range entries {
 		switch {
 		case !e.usable():
-		case e.weight >= 1 && !e.elsewhere:
+		case e.weight >= 1 && !e.ejectedElsewhere:
 			full++
 		case e.weight >= 1:
 		default:
@@ -41,7 +41,7 @@
 	}
 }
 
-// compareReturn orders the targets that are set aside: first back, first.
+// compareReturn orders excluded targets by the order in which they are restored.
 func compareReturn(a, b *entry) int {
 	for _, d := range []int{
 		returnOrder(a) - returnOrder(b),
--- a/outlier/floor_test.go
+++ b/outlier/floor_test.go
@@ -10,7 +10,7 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// history draws arbitrary events for a detector and applies them.
+// history generates arbitrary events and applies them to a detector.
 type history struct {
 	t   *rapid.T
 	d   *Detector
@@ -52,24 +52,24 @@
 	h.d.SetTargets(h.now, h.ts)
 }
 
-// check holds the snapshot against the promise.
+// check verifies that the snapshot keeps the floor.
 func (h *history) check(s *Snapshot) {
 	joined, usable, full := 0, 0, 0
-	for _, seat := range h.d.seats {
-		if seat.target.State != fleet.Joined {
-			assert.Equal(h.t, s.Weight(seat.target.ID), 0.0)
+	for _, target := range h.d.targets {
+		if target.target.State != fleet.Joined {
+			assert.Equal(h.t, s.Weight(target.target.ID), 0.0)
 			continue
 		}
 		joined++
-		if h.d.warming(seat, h.now) || h.now.Sub(seat.drainingAt) < drainHold {
+		if h.d.warming(target, h.now) || h.now.Sub(target.drainingAt) < drainTTL {
 			continue
 		}
 		usable++
-		if s.Weight(seat.target.ID) == 1 {
+		if s.Weight(target.target.ID) == 1 {
 			full++
 		}
 	}
-	least := min(need(h.d.cfg.FloorPercent, joined), usable)
+	least := min(minFullTargets(h.d.cfg.FloorPercent, joined), usable)
 	assert.Assert(h.t, full >= least, "%d of %d usable in full use, want %d", full, usable, least)
 }
 
@@ -114,8 +114,8 @@
 	})
 }
 
-// TestAggregatorLeavesTheFloor accuses every target but one, in turn.
-func TestAggregatorLeavesTheFloor(t *testing.T) {
+// TestAggregatorKeepsFloor accuses every target except one, in turn.
+func TestAggregatorKeepsFloor(t *testing.T) {
 	t.Parallel()
 	a := NewAggregator(testConfig(0), "agg")
 	a.SetTargets(testTargets(10))
--- a/outlier/histogram.go
+++ b/outlier/histogram.go
@@ -9,22 +9,22 @@
 const (
 	// histogramUnit is the width of the first bucket.
 	histogramUnit = 64 * time.Microsecond
-	// histogramSub is how many buckets an octave has, as a power of two.
+	// histogramSub is the binary logarithm of the number of buckets per octave.
 	histogramSub = 3
-	// histogramSize reaches to about ten minutes.
+	// histogramSize is the number of buckets; they cover about ten minutes.
 	histogramSize = 24 << histogramSub
 )
 
-// histogram counts latencies in logarithmic buckets. add may be called from
-// anywhere at any time and allocates nothing, which the libraries' histograms
-// do not offer; only the median is asked of it.
+// histogram counts latencies in logarithmic buckets. add is safe for
+// concurrent use and does not allocate, which library histograms do not offer;
+// only the median is needed.
 type histogram struct {
 	counts [histogramSize]atomic.Uint32
 }
 
 func (h *histogram) add(d time.Duration) { h.counts[bucketOf(d)].Add(1) }
 
-// bucketOf splits each octave evenly.
+// bucketOf returns the bucket of a latency; each octave is split evenly.
 func bucketOf(d time.Duration) int {
 	n := uint64(max(d, 0) / histogramUnit)
 	if n < 1<<histogramSub {
@@ -35,7 +35,7 @@
 	return min(i, histogramSize-1)
 }
 
-// bucketTop is the upper end of a bucket.
+// bucketTop returns the upper bound of a bucket.
 func bucketTop(i int) time.Duration {
 	if i < 1<<histogramSub {
 		return time.Duration(i+1) * histogramUnit
@@ -61,7 +61,7 @@
 	return 0, 0
 }
 
-// halve forgets half of the samples.
+// halve discards half of the samples.
 func (h *histogram) halve() {
 	for i := range h.counts {
 		if n := h.counts[i].Load(); n > 0 {
--- a/outlier/judge.go
+++ b/outlier/judge.go
@@ -9,53 +9,55 @@
 )
 
 const (
-	// window is how fast the base rate forgets, moment how fast it does to
-	// see whether others fail at the same time.
-	window = 15 * time.Second
-	moment = time.Second
-	// unheardGrace is how late bad tries are heard of at most.
-	unheardGrace = 2 * FlushInterval
+	// rateWindow is the decay time constant of the base rate, shortRateWindow
+	// that of the rate used to detect simultaneous failures of other targets.
+	rateWindow      = 15 * time.Second
+	shortRateWindow = time.Second
+	// maxBadReportDelay bounds the delay until a bad try is reported.
+	maxBadReportDelay = 2 * FlushInterval
 )
 
-// row is what a judge knows of one target.
+// row is the evidence about one target.
 type row struct {
 	target fleet.Target
-	// pending is what was seen since the last step.
-	pending []seen
-	// total is all that was seen, recent the same with forgetting, prev the
-	// total before the last step.
+	// pending holds the observations since the last step.
+	pending []observation
+	// total sums all observations, recent sums them with exponential decay;
+	// prev is the total before the last step.
 	total, prev, recent tallies
-	// lately is recent with a much shorter memory.
-	lately tallies
+	// latest is like recent, but decays with shortRateWindow.
+	latest tallies
 	// charts are nil while every sum is zero.
 	charts *charts
 	window slowWindows
-	// muted rows gather no evidence of slowness: cold or warming up.
+	// muted rows collect no evidence of slowness.
 	muted bool
-	// warming rows joined or were cold lately.
+	// warming rows joined or were cold within the slow start.
 	warming bool
-	// aside rows are ejected or on trial; they are no yardstick for others.
-	aside bool
-	// crossed is when the accusation that stands now was first found.
-	crossed time.Time
+	// excluded rows are ejected or on trial; they do not count toward the
+	// rates that others are compared with.
+	excluded bool
+	// accusedAt is when the current accusation was first found.
+	accusedAt time.Time
 }
 
 // judge holds the evidence of one service in a table of targets.
 type judge struct {
 	rows  []*row
 	index map[fleet.TargetID]int
-	// total and prev sum the rows that are not aside.
+	// total and prev sum the rows that are not excluded.
 	total, prev tallies
 	decayed     time.Time
 	threshold   float64
-	// bar is the threshold at the present rate of evidence.
-	bar    float64
-	settle time.Duration
-	// pooled are the service's rates of bad tries as heard; 0: unknown.
+	// adjustedThreshold is the threshold at the current rate of evidence.
+	adjustedThreshold float64
+	settle            time.Duration
+	// pooled holds the service's rates of bad tries as received from the
+	// aggregator; 0: unknown.
 	pooled [channels]float64
 	// median is the service's median latency; 0: unknown.
 	median time.Duration
-	// lagging means that good tries are heard of later than bad ones.
+	// lagging means that good tries are reported later than bad ones.
 	lagging bool
 }
 
@@ -82,8 +84,8 @@
 	j.rows, j.index = rows, index
 }
 
-// add hands in what a source saw of a target since it last did.
-func (j *judge) add(i int, s seen) {
+// add queues the latest observations of one source for target i.
+func (j *judge) add(i int, s observation) {
 	r := j.rows[i]
 	if r.muted {
 		s.tallies[slowness] = tally{}
@@ -93,7 +95,7 @@
 	}
 }
 
-// step folds all that was handed in since the last step.
+// step processes the observations queued since the last step.
 func (j *judge) step(now time.Time) {
 	j.forget(now)
 	j.prev = j.total
@@ -107,7 +109,7 @@
 		j.sum(now, r)
 	}
 	recent := j.recentAll()
-	j.bar = j.threshold + scarce(recent[failure])
+	j.adjustedThreshold = j.threshold + thresholdAdjustment(recent[failure])
 	for _, r := range j.rows {
 		if len(r.pending) > 0 || r.charts != nil {
 			j.stepRow(now, r, recent)
@@ -115,10 +117,11 @@
 	}
 }
 
-// scarce is what the threshold is changed by at the present rate of evidence.
-func scarce(recent tally) float64 {
-	rate := recent.tries() / window.Seconds()
-	return min(max(math.Log(rate/referenceRate), -scarcity), 0)
+// thresholdAdjustment returns the correction (at most 0) of the threshold at
+// the current rate of evidence.
+func thresholdAdjustment(recent tally) float64 {
+	rate := recent.tries() / rateWindow.Seconds()
+	return min(max(math.Log(rate/referenceRate), -maxThresholdReduction), 0)
 }
 
 // forget decays the recent tallies.
@@ -127,15 +130,15 @@
 		j.decayed = now
 	}
 	passed := now.Sub(j.decayed)
-	if passed < moment/16 {
+	if passed < shortRateWindow/16 {
 		return
 	}
-	keep := math.Exp(-float64(passed) / float64(window))
-	keepLately := math.Exp(-float64(passed) / float64(moment))
+	keep := math.Exp(-float64(passed) / float64(rateWindow))
+	keepLatest := math.Exp(-float64(passed) / float64(shortRateWindow))
 	for _, r := range j.rows {
 		for ch := range r.recent {
 			r.recent[ch] = r.recent[ch].times(keep)
-			r.lately[ch] = r.lately[ch].times(keepLately)
+			r.latest[ch] = r.latest[ch].times(keepLatest)
 		}
 	}
 	j.decayed = now
@@ -146,9 +149,9 @@
 	for _, s := range r.pending {
 		for ch := range r.total {
 			r.total[ch] = r.total[ch].plus(s.tallies[ch])
-			if !r.aside {
+			if !r.excluded {
 				r.recent[ch] = r.recent[ch].plus(s.tallies[ch])
-				r.lately[ch] = r.lately[ch].plus(s.after(now.Add(-moment), now, channel(ch)))
+				r.latest[ch] = r.latest[ch].plus(s.after(now.Add(-shortRateWindow), now, channel(ch)))
 				j.total[ch] = j.total[ch].plus(s.tallies[ch])
 			}
 		}
@@ -190,9 +193,9 @@
 	r.pending = r.pending[:0]
 }
 
-// base is the rate of bad tries expected of a target, given the others' recent
-// tries. Where the service's rate is known from the aggregator, it takes the
-// place of the prior.
+// base returns the expected rate of bad tries of a target, given the others'
+// recent tries. The service's rate from the aggregator, if available, replaces
+// the prior.
 func (j *judge) base(ch channel, others tally) float64 {
 	prior := basePrior[ch]
 	if j.pooled[ch] > 0 {
@@ -202,26 +205,26 @@
 	return min(max(rate, baseFloor[ch]), baseCeiling)
 }
 
-// rates are the recent rates of bad tries, without the targets that stand
-// out, unless too many do.
+// rates returns the recent rates of bad tries, without the hot targets unless
+// there are too many of them.
 func (j *judge) rates() [channels]float64 {
-	hot, crowded := j.crowd()
+	hot, crowded := j.suspects()
 	var rates [channels]float64
 	for ch := range channels {
-		var recent, lately tally
+		var recent, latest tally
 		for _, r := range j.rows {
 			if crowded || !slices.Contains(hot, r) {
 				recent = recent.plus(r.recent[ch])
-				lately = lately.plus(r.lately[ch])
+				latest = latest.plus(r.latest[ch])
 			}
 		}
 		rate := recent.rate(basePrior[ch], priorTries)
-		rates[ch] = max(rate, lately.rate(rate, contemporaryTries))
+		rates[ch] = max(rate, latest.rate(rate, contemporaryTries))
 	}
 	return rates
 }
 
-// bases are the rates of bad tries that a row is measured against.
+// bases returns the rates of bad tries that a row is compared with.
 func (j *judge) bases(r *row) [channels]float64 {
 	var bases [channels]float64
 	recent := j.recentAll()
@@ -235,10 +238,10 @@
 func (r *row) clear() {
 	r.charts = nil
 	r.window.clear()
-	r.crossed = time.Time{}
+	r.accusedAt = time.Time{}
 }
 
-// hot tells whether a row's sum has gone a good part of the way.
+// hot reports whether any sum of the row has reached half the threshold.
 func (r *row) hot(threshold float64) bool {
 	if r.charts == nil {
 		return false
--- a/outlier/outbox.go
+++ b/outlier/outbox.go
@@ -6,16 +6,16 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// sentCounts are one target's counts in the report session under way.
+// sentCounts are one target's counts in the current report session.
 type sentCounts struct {
 	counts Counts
-	// changed means that counts differ from what the last report said, and
-	// in is the report that first said them.
-	changed bool
-	in      uint64
+	// changed means that counts differ from those in the last report; firstSeq
+	// is the first report with the current counts.
+	changed  bool
+	firstSeq uint64
 }
 
-// outbox makes a detector's reports.
+// outbox schedules a detector's reports and tracks their acknowledgement.
 type outbox struct {
 	to      fleet.InstanceID
 	session int64
@@ -23,20 +23,20 @@
 	acked   uint64
 	last    time.Time
 	routine time.Duration
-	// urgent and changed tell what came up since the last report.
+	// urgent and changed describe the counts added since the last report.
 	urgent, changed bool
 	median          time.Duration
 	samples         uint32
 }
 
-func (o *outbox) add(s *seat, c Counts) {
+func (o *outbox) add(s *targetState, c Counts) {
 	s.sent.counts = s.sent.counts.plus(c)
 	s.sent.changed = true
 	o.changed = true
 	o.urgent = o.urgent || c.urgent()
 }
 
-// due tells whether a report is worth sending now.
+// due reports whether a report should be sent now.
 func (o *outbox) due(now time.Time) bool {
 	passed := now.Sub(o.last)
 	switch {
@@ -54,7 +54,7 @@
 	}
 }
 
-// ReportTo tells which instance the reports go to. A change begins a new
+// ReportTo sets the instance that reports are sent to. A change starts a new
 // session, since the new aggregator has none of the old one's counts.
 func (d *Detector) ReportTo(aggregator fleet.InstanceID) {
 	if d.out.to == aggregator {
@@ -64,16 +64,16 @@
 		to: aggregator, routine: d.out.routine,
 		median: d.out.median, samples: d.out.samples, last: d.out.last,
 	}
-	for _, s := range d.seats {
+	for _, s := range d.targets {
 		s.sent = sentCounts{}
 	}
 }
 
-// SetRoutine stretches the time between reports that carry nothing urgent
-// beyond RoutineInterval, for instances that have many services.
+// SetRoutine extends the interval between reports without urgent counts beyond
+// RoutineInterval, for instances that have many services.
 func (d *Detector) SetRoutine(interval time.Duration) { d.out.routine = interval }
 
-// report returns what the aggregator should hear now, or nil.
+// report returns the report to send to the aggregator now, or nil.
 func (d *Detector) report(now time.Time) *Report {
 	o := &d.out
 	if !o.due(now) {
@@ -90,12 +90,12 @@
 		Session: o.session, Seq: o.seq, Acked: o.acked,
 		Suspect: d.suspect, Median: o.median, Samples: o.samples,
 	}
-	for _, s := range d.seats {
+	for _, s := range d.targets {
 		if s.sent.changed {
 			s.sent.changed = false
-			s.sent.in = o.seq
+			s.sent.firstSeq = o.seq
 		}
-		if s.sent.in > o.acked {
+		if s.sent.firstSeq > o.acked {
 			r.Targets = append(r.Targets, TargetCounts{Target: s.target.ID, Counts: s.sent.counts})
 		}
 	}
--- a/outlier/policy_test.go
+++ b/outlier/policy_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// sick makes a share of the tries at target 3 time out from the onset on.
-func sick(f *fakeFleet, share float64) {
+// failTarget3 makes a share of the tries at target 3 time out from onset on.
+func failTarget3(f *fakeFleet, share float64) {
 	f.answer = func(_ fleet.Zone, _, t int, at time.Duration) (fleet.TryResult, time.Duration) {
 		if t == 3 && at >= onset && f.rng.Float64() < share {
 			return fleet.TryTimeout, fakeTimeout
@@ -28,7 +28,7 @@
 	}
 }
 
-// everywhere tells whether every detector says this of target 3.
+// everywhere reports whether target 3 is in phase p on every detector.
 func (f *fakeFleet) everywhere(p Phase) bool {
 	for _, d := range f.detectors {
 		if d.snapshot.Status("t03").Phase != p {
@@ -46,7 +46,7 @@
 	return f.now.Sub(from)
 }
 
-func TestSickTargetIsEjectedEverywhere(t *testing.T) {
+func TestUnhealthyTargetIsEjectedEverywhere(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name    string
@@ -67,7 +67,7 @@
 			t.Parallel()
 			for seed := range uint64(3) {
 				f := newFakeFleet(testConfig(c.weight), 40, c.targets, c.rate, seed)
-				sick(f, c.share)
+				failTarget3(f, c.share)
 				f.run(onset)
 				took := f.runUntil(c.within, func() bool { return f.everywhere(Ejected) })
 				assert.Assert(t, f.everywhere(Ejected), "not within %v", took)
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestNobodyIsEjected(t *testing.T) {
+func TestNoFalseEjections(t *testing.T) {
 	t.Parallel()
 	slow := func(f *fakeFleet, factor float64) (fleet.TryResult, time.Duration) {
 		return fleet.TryOK, time.Duration(factor * float64(f.usual()))
@@ -158,7 +158,7 @@
 	assert.Equal(t, f.detectors[0].snapshot.Status("t03").Reason, ReasonSlow)
 }
 
-func TestScopeFollowsWhoSawIt(t *testing.T) {
+func TestScopeMatchesAffectedObservers(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name  string
@@ -191,7 +191,7 @@
 	}
 }
 
-func TestInstanceCutOffBlamesItself(t *testing.T) {
+func TestPartitionedInstanceSuspectsItself(t *testing.T) {
 	t.Parallel()
 	f := newFakeFleet(testConfig(0.5), 40, 10, 400, 1)
 	f.answer = func(_ fleet.Zone, i, target int, at time.Duration) (fleet.TryResult, time.Duration) {
@@ -202,7 +202,7 @@
 	}
 	f.run(onset + 20*time.Second)
 	assert.Assert(t, f.detectors[4].suspect)
-	assert.Assert(t, len(f.detectors[4].snapshot.places) == 10)
+	assert.Assert(t, len(f.detectors[4].snapshot.entries) == 10)
 	for _, d := range f.detectors[5:] {
 		assert.Equal(t, d.snapshot.Weight("t03"), 1.0)
 	}
@@ -212,7 +212,7 @@
 	t.Parallel()
 	f := newFakeFleet(testConfig(0.5), 40, 10, 400, 1)
 	f.deliver = func(int) bool { return false }
-	sick(f, 1)
+	failTarget3(f, 1)
 	f.run(onset)
 	f.runUntil(30*time.Second, func() bool { return f.everywhere(Ejected) })
 	ejected := 0
@@ -225,13 +225,13 @@
 	assert.Equal(t, len(f.ejected), 1)
 }
 
-func TestStayDoublesAndTargetReturns(t *testing.T) {
+func TestEjectionTimeDoublesAndTargetReturns(t *testing.T) {
 	t.Parallel()
 	f := newFakeFleet(testConfig(0.5), 40, 10, 240, 1)
-	sick(f, 1)
+	failTarget3(f, 1)
 	f.run(onset + 40*time.Second)
-	stay := f.aggregator.cases[3].stays[0]
-	assert.Assert(t, stay.level >= 2, "level %d", stay.level)
+	ejection := f.aggregator.cases[3].ejections[0]
+	assert.Assert(t, ejection.level >= 2, "level %d", ejection.level)
 	f.answer = func(fleet.Zone, int, int, time.Duration) (fleet.TryResult, time.Duration) { return fleet.TryOK, 0 }
 	f.runUntil(2*time.Minute, func() bool { return f.everywhere(InUse) })
 	assert.Assert(t, f.everywhere(InUse))
@@ -239,7 +239,7 @@
 	assert.Equal(t, f.detectors[0].active, false)
 }
 
-func TestVerdictsRunOutWithoutAggregator(t *testing.T) {
+func TestVerdictsExpireWithoutAggregator(t *testing.T) {
 	t.Parallel()
 	d := NewDetector(testConfig(0.5), "i", "z0")
 	d.SetTargets(epoch, testTargets(10))
@@ -283,7 +283,7 @@
 	assert.Equal(t, a.judge.rows[1].total[failure], tally{good: 30, bad: 2})
 }
 
-func TestLostReportIsMadeUpFor(t *testing.T) {
+func TestLostReportIsCompensated(t *testing.T) {
 	t.Parallel()
 	d, a := NewDetector(testConfig(0.5), "i", "z0"), NewAggregator(testConfig(0.5), "agg")
 	d.SetTargets(epoch, testTargets(3))
--- a/outlier/publish.go
+++ b/outlier/publish.go
@@ -6,9 +6,8 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// ApplyVerdicts takes in what an aggregator says. Verdicts that are older
-// than others of the same aggregator are ignored, so they may come late,
-// twice or never.
+// ApplyVerdicts applies the verdicts of an aggregator. Verdicts older than others
+// of the same aggregator are ignored, so they may be delayed, duplicated or lost.
 func (d *Detector) ApplyVerdicts(now time.Time, v Verdicts) {
 	d.out.acknowledge(v)
 	if v.Median > 0 {
@@ -18,38 +17,38 @@
 		d.judge.pooled = [channels]float64{failure: v.FailureRate, slowness: v.SlowRate}
 		d.pooledAt = now
 	}
-	h := d.held[v.From]
+	h := d.received[v.From]
 	if h != nil && v.Number < h.verdicts.Number {
 		return
 	}
 	if h == nil && len(v.Entries) == 0 {
 		return
 	}
-	d.held[v.From] = &heldVerdicts{at: now, verdicts: v}
+	d.received[v.From] = &receivedVerdicts{at: now, verdicts: v}
 	d.active = true
 }
 
-// joinVerdicts finds the strictest verdict on each target, moved on by the
-// time since it was heard, and forgets aggregators whose verdicts ran out.
-func (d *Detector) joinVerdicts(now time.Time) {
-	if len(d.held) == 0 {
+// mergeVerdicts determines the strictest verdict on each target, advanced by the
+// time since it was received, and removes aggregators whose verdicts expired.
+func (d *Detector) mergeVerdicts(now time.Time) {
+	if len(d.received) == 0 {
 		return
 	}
-	for _, s := range d.seats {
-		s.pooled, s.elsewhere = nil, false
+	for _, s := range d.targets {
+		s.pooled, s.ejectedElsewhere = nil, false
 	}
-	for from, h := range d.held {
-		if !d.join(now, h) {
-			delete(d.held, from)
+	for from, h := range d.received {
+		if !d.merge(now, h) {
+			delete(d.received, from)
 		}
 	}
 }
 
-// join applies one aggregator's verdicts and tells whether any still holds.
-func (d *Detector) join(now time.Time, h *heldVerdicts) bool {
+// merge applies one aggregator's verdicts and reports whether any is in force.
+func (d *Detector) merge(now time.Time, h *receivedVerdicts) bool {
 	holds := false
 	for _, v := range h.verdicts.Entries {
-		w, over := v.run(d.cfg, now.Sub(h.at))
+		w, over := v.after(d.cfg, now.Sub(h.at))
 		if over {
 			continue
 		}
@@ -59,21 +58,21 @@
 			continue
 		}
 		if v.Zone != "" && v.Zone != d.zone {
-			d.seats[i].elsewhere = d.seats[i].elsewhere || w.Phase == Ejected || w.Phase == Trial
+			d.targets[i].ejectedElsewhere = d.targets[i].ejectedElsewhere || w.Phase == Ejected || w.Phase == Trial
 			continue
 		}
-		d.seats[i].hear(w, now, d.cfg)
+		d.targets[i].applyVerdict(w, now, d.cfg)
 	}
 	return holds
 }
 
-// hear takes a verdict that holds for the instance.
-func (s *seat) hear(v Verdict, now time.Time, cfg Config) {
+// applyVerdict applies a verdict that covers this instance.
+func (s *targetState) applyVerdict(v Verdict, now time.Time, cfg Config) {
 	switch v.Phase {
 	case Warming:
 		s.coldAt = later(s.coldAt, now.Add(v.Remaining-cfg.SlowStart))
 	case Draining:
-		s.drainingAt = later(s.drainingAt, now.Add(v.Remaining-drainHold))
+		s.drainingAt = later(s.drainingAt, now.Add(v.Remaining-drainTTL))
 	default:
 		if s.pooled == nil || stricter(v, *s.pooled) {
 			s.pooled = &v
@@ -81,7 +80,7 @@
 	}
 }
 
-// stricter orders verdicts on one target whatever order they came in.
+// stricter orders verdicts on one target independently of their arrival order.
 func stricter(v, w Verdict) bool {
 	switch {
 	case v.Phase != w.Phase:
@@ -96,18 +95,18 @@
 	return v.Reason > w.Reason
 }
 
-// publish makes the next snapshot and returns what changed.
+// publish builds the next snapshot and returns the changes.
 func (d *Detector) publish(now time.Time) []Event {
-	entries := make([]*entry, len(d.seats))
+	entries := make([]*entry, len(d.targets))
 	joined := 0
-	for i, s := range d.seats {
+	for i, s := range d.targets {
 		entries[i] = d.entry(s, now)
 		if s.target.State == fleet.Joined {
 			joined++
 		}
 	}
-	holdFloor(entries, need(d.cfg.FloorPercent, joined))
-	next := publish(entries)
+	enforceFloor(entries, minFullTargets(d.cfg.FloorPercent, joined))
+	next := newSnapshot(entries)
 	if next.equal(d.snapshot) {
 		return nil
 	}
@@ -116,9 +115,9 @@
 	return d.changes(now, before, next)
 }
 
-// entry is a target's place before the floor is held.
-func (d *Detector) entry(s *seat, now time.Time) *entry {
-	e := &entry{target: s.target, weight: 1, elsewhere: s.elsewhere}
+// entry returns a target's entry before the floor is enforced.
+func (d *Detector) entry(s *targetState, now time.Time) *entry {
+	e := &entry{target: s.target, weight: 1, ejectedElsewhere: s.ejectedElsewhere}
 	if s.target.State != fleet.Joined {
 		e.weight = 0
 		e.status.Phase = Gone
@@ -126,23 +125,23 @@
 	}
 	if d.warming(s, now) {
 		e.cold = true
-		e.weight = ramp(now.Sub(s.warmFrom()), d.cfg.SlowStart)
-		e.status = Status{Phase: Warming, Until: s.warmFrom().Add(d.cfg.SlowStart)}
+		e.weight = ramp(now.Sub(s.warmingSince()), d.cfg.SlowStart)
+		e.status = Status{Phase: Warming, Until: s.warmingSince().Add(d.cfg.SlowStart)}
 	}
-	if !s.drainingAt.IsZero() && now.Sub(s.drainingAt) < drainHold {
+	if !s.drainingAt.IsZero() && now.Sub(s.drainingAt) < drainTTL {
 		e.draining = true
 		e.weight = 0
-		e.status = Status{Phase: Draining, Until: s.drainingAt.Add(drainHold)}
+		e.status = Status{Phase: Draining, Until: s.drainingAt.Add(drainTTL)}
 		return e
 	}
 	s.drainingAt = time.Time{}
-	d.setAside(e, s, now)
+	d.applyEjections(e, s, now)
 	return e
 }
 
-// setAside applies the stricter of the instance's own ejection and the
+// applyEjections applies the stricter of the instance's own ejection and the
 // verdict of an aggregator.
-func (d *Detector) setAside(e *entry, s *seat, now time.Time) {
+func (d *Detector) applyEjections(e *entry, s *targetState, now time.Time) {
 	if s.pooled != nil {
 		v := s.pooled
 		scope := ScopeFleet
@@ -150,15 +149,15 @@
 			scope = ScopeZone
 		}
 		st := Status{Phase: v.Phase, Scope: scope, Reason: v.Reason, Until: now.Add(v.Remaining)}
-		d.lower(e, st, v.Score, now)
+		d.lowerWeight(e, st, v.Score, now)
 	}
-	if s.stay != nil {
-		st := Status{Phase: s.stay.phase, Scope: ScopeInstance, Reason: s.stay.reason, Until: s.stay.until}
-		d.lower(e, st, int(s.stay.score), now)
+	if s.ejection != nil {
+		st := Status{Phase: s.ejection.phase, Scope: ScopeInstance, Reason: s.ejection.reason, Until: s.ejection.until}
+		d.lowerWeight(e, st, int(s.ejection.score), now)
 	}
 }
 
-func (d *Detector) lower(e *entry, st Status, score int, now time.Time) {
+func (d *Detector) lowerWeight(e *entry, st Status, score int, now time.Time) {
 	w := 0.0
 	switch st.Phase {
 	case Trial:
@@ -172,10 +171,10 @@
 	e.weight, e.status, e.score = w, st, score
 }
 
-// changes lists the targets whose phase, scope or share by the floor changed.
+// changes returns the targets whose phase, scope or GivenBack changed.
 func (d *Detector) changes(now time.Time, before, after *Snapshot) []Event {
 	var events []Event
-	for _, s := range d.seats {
+	for _, s := range d.targets {
 		id := s.target.ID
 		b, a := before.Status(id), after.Status(id)
 		if before == nil {
--- a/outlier/scope.go
+++ b/outlier/scope.go
@@ -9,37 +9,37 @@
 )
 
 const (
-	// loudestShare is the part of the threshold that an accusation must
-	// reach without the reporter who adds most to it.
-	loudestShare = 0.25
-	// zoneShare is the part of the threshold that a zone's own evidence must
-	// reach for a verdict before that zone alone.
-	zoneShare = 0.5
-	// scopeMargin is by how much, in nats, the target must rather be sick for
-	// everyone than for a few reporters or zones.
+	// minShareWithoutTop is the fraction of the threshold that an accusation must
+	// reach without the reporter that contributes most to it.
+	minShareWithoutTop = 0.25
+	// minZoneShare is the fraction of the threshold that a zone's own evidence
+	// must reach for a verdict limited to that zone.
+	minZoneShare = 0.5
+	// scopeMargin is by how much, in nats, an unhealthy target must be likelier
+	// than a few reporters or zones being cut off from it.
 	scopeMargin = 2.0
-	// ownZonePrice is how much less likely, in nats, a target is cut off from
+	// ownZonePenalty is how much less likely, in nats, a target is cut off from
 	// its own zone than from another.
-	ownZonePrice = 4.0
+	ownZonePenalty = 4.0
 )
 
-// charge is an accusation that an aggregator may act on.
+// charge is an accusation for one scope; an empty zone means fleet-wide.
 type charge struct {
 	index      int
 	zone       fleet.Zone
 	accusation accusation
 }
 
-// accuse ejects the targets that the pooled evidence accuses, the strongest
-// accusation first, as far as the floor allows.
+// accuse ejects the targets accused by the pooled evidence, strongest accusation
+// first, as far as the floor permits. It reports whether any was ejected.
 func (a *Aggregator) accuse(now time.Time) bool {
-	hot, crowded := a.judge.crowd()
+	hot, crowded := a.judge.suspects()
 	if len(hot) == 0 || crowded {
 		return false
 	}
 	var charges []charge
 	for i, r := range a.judge.rows {
-		if r.target.State != fleet.Joined || r.aside {
+		if r.target.State != fleet.Joined || r.excluded {
 			continue
 		}
 		factor := 1.0
@@ -68,8 +68,8 @@
 	return 0
 }
 
-func (f *caseFile) returning() bool {
-	for _, s := range f.stays {
+func (f *targetCase) returning() bool {
+	for _, s := range f.ejections {
 		if s.phase == Returning {
 			return true
 		}
@@ -77,11 +77,11 @@
 	return false
 }
 
-// charges finds before whom a target is accused.
+// charges returns the scopes for which a target is accused.
 func (a *Aggregator) charges(i int, acc accusation, factor float64) []charge {
-	threshold := a.judge.bar * factor
-	loudest, bad := loudest(acc)
-	if bad < 2 || acc.score-loudest < threshold*loudestShare {
+	threshold := a.judge.adjustedThreshold * factor
+	top, bad := topReporter(acc)
+	if bad < 2 || acc.score-top < threshold*minShareWithoutTop {
 		return nil
 	}
 	zones := byZone(acc)
@@ -92,7 +92,7 @@
 	case everyone > few+scopeMargin && (everyone > some+scopeMargin || a.zones() == 1):
 		return []charge{{index: i, accusation: acc}}
 	case some > few:
-		return zoneCharges(i, acc, zones, threshold*zoneShare)
+		return zoneCharges(i, acc, zones, threshold*minZoneShare)
 	}
 	return nil
 }
@@ -105,8 +105,8 @@
 	return sum
 }
 
-// fewReporters is the likelihood that a few reporters alone are cut off from
-// the target: each of them fails nearly all of its tries, the others none.
+// fewReporters returns the log-likelihood ratio that only a few reporters are cut
+// off from the target: nearly all of their tries fail, and none of the others'.
 func (a *Aggregator) fewReporters(acc accusation) float64 {
 	price := math.Log(float64(len(a.reporters)))
 	sum := 0.0
@@ -116,24 +116,24 @@
 	return sum
 }
 
-// someZones is the likelihood that some zones are cut off from the target.
-// That is least likely of the target's own zone.
+// someZones returns the log-likelihood ratio that some zones are cut off from the
+// target. This is least likely for the target's own zone.
 func (a *Aggregator) someZones(acc accusation, zones []share, own fleet.Zone) float64 {
 	price := math.Log(float64(a.zones()))
 	sum := 0.0
 	for _, z := range zones {
 		p := price
 		if z.zone == own {
-			p += ownZonePrice
+			p += ownZonePenalty
 		}
 		sum += cutOff(z, acc.base, p)
 	}
 	return sum
 }
 
-// cutOff is the likelihood that one who saw the target is cut off from it,
-// and so fails nearly all tries, or else saw a healthy one. It is lowered by
-// a price, since any could have been the one.
+// cutOff returns the log-likelihood ratio that an observer is cut off from the
+// target, so that nearly all of its tries fail, or 0 if a healthy target is
+// likelier. price corrects for the number of observers that could be cut off.
 func cutOff(s share, base, price float64) float64 {
 	return max(likelihood(s.tally, base, excesses[len(excesses)-1])-price, 0)
 }
@@ -148,9 +148,9 @@
 	return charges
 }
 
-// loudest returns the greatest part that one reporter has in an accusation,
-// and how many reporters saw bad tries.
-func loudest(acc accusation) (most float64, bad int) {
+// topReporter returns the largest contribution of one reporter to an accusation,
+// and the number of reporters with bad tries.
+func topReporter(acc accusation) (most float64, bad int) {
 	for _, s := range acc.shares {
 		most = max(most, likelihood(s.tally, acc.base, acc.excess))
 		if s.tally.bad > 0 {
@@ -189,16 +189,17 @@
 	return len(set)
 }
 
-// eject opens an ejection unless one holds already or the floor forbids it.
-// An ejection before everyone takes the room of those before one zone.
+// eject starts an ejection unless one is in force already or the floor forbids
+// it. A fleet-wide ejection displaces ejections limited to zones. It reports
+// whether it started one.
 func (a *Aggregator) eject(now time.Time, c charge) bool {
 	f := a.cases[c.index]
-	current := f.stayOf(c.zone)
-	if current.aside() {
+	current := f.ejectionFor(c.zone)
+	if current.excluded() {
 		return false
 	}
-	for !a.spare(now, c) {
-		if c.zone != "" || !a.dropZoneStay() {
+	for !a.floorPermits(now, c) {
+		if c.zone != "" || !a.dropZoneEjection() {
 			return false
 		}
 	}
@@ -206,55 +207,55 @@
 	if current != nil {
 		level = current.level + 1
 	}
-	s := newStay(now, a.cfg, c.zone, level, c.accusation)
+	s := newEjection(now, a.cfg, c.zone, level, c.accusation)
 	s.base = a.judge.bases(a.judge.rows[c.index])
-	f.stays = slices.DeleteFunc(f.stays, func(o *stay) bool { return c.zone == "" || o.zone == c.zone || o.zone == "" })
-	f.stays = append(f.stays, s)
-	a.judge.mark(a.judge.rows[c.index], c.zone == "")
+	f.ejections = slices.DeleteFunc(f.ejections, func(o *ejection) bool { return c.zone == "" || o.zone == c.zone || o.zone == "" })
+	f.ejections = append(f.ejections, s)
+	a.judge.setExcluded(a.judge.rows[c.index], c.zone == "")
 	return true
 }
 
-// dropZoneStay ends the zones' ejection of the target that is accused least,
-// and tells whether there was one.
-func (a *Aggregator) dropZoneStay() bool {
-	var weakest *caseFile
+// dropZoneEjection ends the zone-limited ejections of the target with the weakest
+// accusation, and reports whether there were any.
+func (a *Aggregator) dropZoneEjection() bool {
+	var weakest *targetCase
 	for _, f := range a.cases {
-		if f.stayOf("") == nil && f.aside() && (weakest == nil || f.stays[0].score < weakest.stays[0].score) {
+		if f.ejectionFor("") == nil && f.excluded() && (weakest == nil || f.ejections[0].score < weakest.ejections[0].score) {
 			weakest = f
 		}
 	}
 	if weakest == nil {
 		return false
 	}
-	weakest.stays = nil
+	weakest.ejections = nil
 	return true
 }
 
-// aside tells whether the target is set aside before anyone.
-func (f *caseFile) aside() bool {
-	return slices.ContainsFunc(f.stays, (*stay).aside)
+// excluded reports whether the target is ejected or on trial in any scope.
+func (f *targetCase) excluded() bool {
+	return slices.ContainsFunc(f.ejections, (*ejection).excluded)
 }
 
-// spare tells whether the floor leaves room for one more ejection. It counts
-// the union of all zones' ejections. Instances hold the floor by themselves;
-// this keeps verdicts from piling up beyond it.
-func (a *Aggregator) spare(now time.Time, c charge) bool {
+// floorPermits reports whether the floor permits one more ejection. It counts the
+// union of all zones' ejections. Instances enforce the floor themselves; this
+// check prevents verdicts from accumulating beyond it.
+func (a *Aggregator) floorPermits(now time.Time, c charge) bool {
 	joined, full := 0, 0
 	for _, f := range a.cases {
 		if f.target.State != fleet.Joined {
 			continue
 		}
 		joined++
-		if !f.idle(now, a.cfg) && !f.aside() {
+		if !f.unavailable(now, a.cfg) && !f.excluded() {
 			full++
 		}
 	}
 	f := a.cases[c.index]
-	return f.idle(now, a.cfg) || f.aside() || full > need(a.cfg.FloorPercent, joined)
+	return f.unavailable(now, a.cfg) || f.excluded() || full > minFullTargets(a.cfg.FloorPercent, joined)
 }
 
-// idle tells whether the target is draining or warming up, and so no part of
-// the healthy capacity whether it is ejected or not.
-func (f *caseFile) idle(now time.Time, cfg Config) bool {
-	return now.Sub(f.drainingAt) < drainHold || f.warming(now, cfg)
+// unavailable reports whether the target is draining or warming up and therefore
+// not part of the healthy capacity, ejected or not.
+func (f *targetCase) unavailable(now time.Time, cfg Config) bool {
+	return now.Sub(f.drainingAt) < drainTTL || f.warming(now, cfg)
 }
--- a/outlier/snapshot.go
+++ b/outlier/snapshot.go
@@ -6,99 +6,98 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// entry is one target in the making of a snapshot.
+// entry is one target of a snapshot under construction.
 type entry struct {
 	target fleet.Target
 	weight float64
 	status Status
 	score  int
-	// cold and draining are what the target itself said, or follows from
-	// when it joined.
+	// cold and draining were reported by the target itself; cold also follows
+	// from the time it joined.
 	cold, draining bool
-	// elsewhere means that other instances do not use the target.
-	elsewhere bool
+	// ejectedElsewhere means that the target is ejected for another zone.
+	ejectedElsewhere bool
 }
 
-// usable tells whether the target counts as healthy capacity but for
+// usable reports whether the target counts as healthy capacity, disregarding
 // ejections.
 func (e *entry) usable() bool {
 	return e.target.State == fleet.Joined && !e.cold && !e.draining
 }
 
-// place is what a snapshot says of one target.
-type place struct {
+// snapshotEntry is one target's weight and status in a snapshot.
+type snapshotEntry struct {
 	weight float64
 	status Status
 }
 
-// Snapshot is what an instance knows of a service's targets at one time. It
-// does not change.
+// Snapshot is the immutable state of a service's targets at one time, as seen by
+// one instance.
 type Snapshot struct {
-	places map[fleet.TargetID]place
+	entries map[fleet.TargetID]snapshotEntry
 }
 
-// Weight is the target's share of new work against a target in full use: 0
-// means it must not be chosen, 1 that it is in full use. It is 0 for a target
-// that is not known.
+// Weight returns the target's share of new work relative to a target in full use:
+// 0 means that it must not be chosen, 1 full use. It is 0 for an unknown target.
 func (s *Snapshot) Weight(t fleet.TargetID) float64 {
 	if s == nil {
 		return 0
 	}
-	return s.places[t].weight
+	return s.entries[t].weight
 }
 
-// Status tells why the target has its weight.
+// Status returns the reason for the target's weight.
 func (s *Snapshot) Status(t fleet.TargetID) Status {
 	if s == nil {
 		return Status{Phase: Gone}
 	}
-	p, ok := s.places[t]
+	p, ok := s.entries[t]
 	if !ok {
 		return Status{Phase: Gone}
 	}
 	return p.status
 }
 
-// equal tells whether two snapshots say the same.
+// equal reports whether two snapshots have the same content.
 func (s *Snapshot) equal(o *Snapshot) bool {
-	if s == nil || o == nil || len(s.places) != len(o.places) {
+	if s == nil || o == nil || len(s.entries) != len(o.entries) {
 		return false
 	}
-	for t, p := range s.places {
-		if o.places[t] != p {
+	for t, p := range s.entries {
+		if o.entries[t] != p {
 			return false
 		}
 	}
 	return true
 }
 
-// publish makes the snapshot of entries whose floor has been held. Where
-// every joined target would be refused work because it is draining, it is
-// offered all the same: it refuses by itself, without running anything.
-func publish(entries []*entry) *Snapshot {
+// newSnapshot builds the snapshot after the floor has been enforced. If no target
+// would get work, because all are draining, all joined targets get full weight:
+// they reject work themselves, without executing it.
+func newSnapshot(entries []*entry) *Snapshot {
 	offered := false
 	for _, e := range entries {
 		offered = offered || e.weight > 0
 	}
-	places := make(map[fleet.TargetID]place, len(entries))
+	places := make(map[fleet.TargetID]snapshotEntry, len(entries))
 	for _, e := range entries {
 		if !offered && e.target.State == fleet.Joined {
 			e.weight = 1
 		}
-		places[e.target.ID] = place{weight: e.weight, status: e.status}
+		places[e.target.ID] = snapshotEntry{weight: e.weight, status: e.status}
 	}
-	return &Snapshot{places: places}
+	return &Snapshot{entries: places}
 }
 
-// rampSteps is how finely a growing share is cut, so that snapshots do not
-// change with every tick.
+// rampSteps is the number of steps of a growing share; steps keep snapshots from
+// changing with every tick.
 const rampSteps = 16
 
-// ramp is the share of a target that started so long ago.
-func ramp(passed, whole time.Duration) float64 {
-	if passed >= whole || whole <= 0 {
+// ramp returns the share of a target at a time since its slow start began.
+func ramp(passed, total time.Duration) float64 {
+	if passed >= total || total <= 0 {
 		return 1
 	}
-	step := int(rampSteps * max(passed, 0) / whole)
+	step := int(rampSteps * max(passed, 0) / total)
 	return startWeight + (1-startWeight)*float64(step)/rampSteps
 }
--- a/outlier/stay.go
+++ b/outlier/stay.go
@@ -6,13 +6,13 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// record is what is remembered of a target's ejections in one scope.
+// record is the history of a target's ejections in one scope.
 type record struct {
 	level      int
 	returnedAt time.Time
 }
 
-// next is the level of an ejection that begins now.
+// next returns the level of an ejection that begins now.
 func (r record) next(now time.Time, cfg Config) int {
 	if r.returnedAt.IsZero() {
 		return 0
@@ -21,8 +21,8 @@
 	return max(r.level+1-forgotten, 0)
 }
 
-// stay is one ejection of one target, from its accusation to full use.
-type stay struct {
+// ejection is one ejection of one target, from its accusation to full use.
+type ejection struct {
 	zone   fleet.Zone
 	phase  Phase
 	since  time.Time
@@ -30,34 +30,36 @@
 	level  int
 	score  float64
 	reason Reason
-	// trial is the evidence of the trial under way, base its yardstick.
+	// trial is the evidence of the current trial, base the rates of bad tries
+	// that it is compared with.
 	trial tallies
 	base  [channels]float64
 }
 
-func newStay(now time.Time, cfg Config, zone fleet.Zone, level int, a accusation) *stay {
-	s := &stay{zone: zone, score: a.score, reason: a.channel.reason()}
+func newEjection(now time.Time, cfg Config, zone fleet.Zone, level int, a accusation) *ejection {
+	s := &ejection{zone: zone, score: a.score, reason: a.channel.reason()}
 	s.eject(now, cfg, level)
 	return s
 }
 
-func (s *stay) eject(now time.Time, cfg Config, level int) {
+func (s *ejection) eject(now time.Time, cfg Config, level int) {
 	s.level = level
-	s.enter(now, Ejected, cfg.stayFor(level))
+	s.enter(now, Ejected, cfg.ejectionTime(level))
 }
 
-func (s *stay) enter(now time.Time, p Phase, d time.Duration) {
+func (s *ejection) enter(now time.Time, p Phase, d time.Duration) {
 	s.phase = p
 	s.since = now
 	s.until = now.Add(d)
 	s.trial = tallies{}
 }
 
-// aside tells whether the target's evidence belongs to the stay alone.
-func (s *stay) aside() bool { return s != nil && (s.phase == Ejected || s.phase == Trial) }
+// excluded reports whether the target is ejected or on trial, so that its
+// evidence counts for the trial only.
+func (s *ejection) excluded() bool { return s != nil && (s.phase == Ejected || s.phase == Trial) }
 
-// add hands in evidence from within the stay's scope.
-func (s *stay) add(t tallies) {
+// add records evidence from within the ejection's scope.
+func (s *ejection) add(t tallies) {
 	if s.phase != Trial {
 		return
 	}
@@ -66,8 +68,8 @@
 	}
 }
 
-// advance moves the stay on, and tells whether it is over.
-func (s *stay) advance(now time.Time, cfg Config, lim limits) (over bool) {
+// advance updates the phase of the ejection and reports whether it is over.
+func (s *ejection) advance(now time.Time, cfg Config, lim limits) (over bool) {
 	expired := !now.Before(s.until)
 	switch s.phase {
 	case Ejected:
@@ -75,26 +77,27 @@
 			s.enter(now, Trial, cfg.trialLimit())
 		}
 	case Trial:
-		s.tryOut(now, cfg, lim, expired)
+		s.evaluateTrial(now, cfg, lim, expired)
 	case Returning:
 		return expired
 	}
 	return false
 }
 
-// tryOut decides a trial.
-func (s *stay) tryOut(now time.Time, cfg Config, lim limits, expired bool) {
-	worst := s.relapse()
+// evaluateTrial decides whether a trial fails, succeeds or continues.
+func (s *ejection) evaluateTrial(now time.Time, cfg Config, lim limits, expired bool) {
+	worst := s.trialScore()
 	switch {
-	case worst >= trialRelapse, expired && worst > 0:
+	case worst >= trialFailureScore, expired && worst > 0:
 		s.eject(now, cfg, s.level+1)
 	case expired, s.trial[failure].good >= lim.trialGood && worst <= 0:
 		s.enter(now, Returning, cfg.SlowStart)
 	}
 }
 
-// relapse is the stronger of the two channels' evidence against the target.
-func (s *stay) relapse() float64 {
+// trialScore returns the stronger of the two channels' evidence against the
+// target.
+func (s *ejection) trialScore() float64 {
 	worst := 0.0
 	for ch := range channels {
 		base := max(s.base[ch], baseFloor[ch])
@@ -106,17 +109,18 @@
 	return worst
 }
 
-// verdict describes the stay to instances.
-func (s *stay) verdict(now time.Time, t fleet.TargetID) Verdict {
+// verdict returns the ejection in the form sent to instances.
+func (s *ejection) verdict(now time.Time, t fleet.TargetID) Verdict {
 	return Verdict{
 		Target: t, Zone: s.zone, Phase: s.phase, Reason: s.reason,
 		Remaining: max(s.until.Sub(now), 0), Score: int(s.score),
 	}
 }
 
-// run moves a verdict on by the time since it was heard, as its aggregator
-// would without further evidence. over means that nothing is left of it.
-func (v Verdict) run(cfg Config, passed time.Duration) (w Verdict, over bool) {
+// after returns the verdict advanced by the time since it was received, as its
+// aggregator would advance it without further evidence. over reports that the
+// ejection has ended.
+func (v Verdict) after(cfg Config, passed time.Duration) (w Verdict, over bool) {
 	for passed >= v.Remaining {
 		passed -= v.Remaining
 		switch v.Phase {
--- a/outlier/window.go
+++ b/outlier/window.go
@@ -2,21 +2,23 @@
 
 import "time"
 
-// slowWindow is the least time over which the evidence of slowness at one
-// target counts as one try; in services whose median latency is longer, that is. A pause of the target, or one long request with others
-// queued behind it, makes many tries slow at once; tried one by one they
-// would look like many independent failures.
+// slowWindow is the minimum time over which the evidence of slowness at one
+// target counts as one try; a longer median latency of the service replaces it.
+// A pause of the target, or one long request with others queued behind it, makes
+// many tries slow at once; counted individually they would look like many
+// independent failures.
 const slowWindow = 250 * time.Millisecond
 
-// slowWindows gathers the evidence of one window.
+// slowWindows collects the evidence of slowness of one window.
 type slowWindows struct {
 	opened time.Time
-	seen   []seen
+	seen   []observation
 	tally  tally
 }
 
-// add moves the evidence of slowness out of what was seen into the window.
-func (w *slowWindows) add(now time.Time, pending []seen) {
+// add moves the evidence of slowness from the pending observations into the
+// window.
+func (w *slowWindows) add(now time.Time, pending []observation) {
 	for i := range pending {
 		t := pending[i].tallies[slowness]
 		pending[i].tallies[slowness] = tally{}
@@ -27,15 +29,15 @@
 			w.opened = now
 		}
 		w.tally = w.tally.plus(t)
-		s := seen{source: pending[i].source}
+		s := observation{source: pending[i].source}
 		s.tallies[slowness] = t
 		w.seen = append(w.seen, s)
 	}
 }
 
 // close returns the window's evidence once the window is over: one bad try if
-// most tries were slow, one good try otherwise, shared among those who saw it.
-func (w *slowWindows) close(now time.Time, median time.Duration, to []seen) []seen {
+// most tries were slow, one good try otherwise, divided among its sources.
+func (w *slowWindows) close(now time.Time, median time.Duration, to []observation) []observation {
 	if len(w.seen) == 0 || now.Sub(w.opened) < max(slowWindow, median) {
 		return to
 	}
