--- a/membership/measure_test.go
+++ b/membership/measure_test.go
@@ -11,7 +11,7 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// TestMain fixes the seed of the randomised tests unless one is given.
+// TestMain fixes the seed of the randomised tests unless a flag sets one.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -20,16 +20,16 @@
 	os.Exit(m.Run())
 }
 
-// accusations counts what the views held against running instances.
+// accusations counts suspicions and deaths of running instances in the views.
 type accusations struct {
 	last      time.Time
-	suspected map[Member]bool // distinct accused records
-	deaths    int             // views that held a running instance dead
+	suspected map[Member]bool // distinct suspected records
+	deaths    int             // views in which a running instance was dead
 }
 
 func (w *network) count(a *accusations) {
 	for _, viewer := range w.running() {
-		for _, e := range w.nodes[viewer].spreading {
+		for _, e := range w.nodes[viewer].gossipQueue {
 			if w.paused[e.ID] || e.since.Before(a.last) {
 				continue
 			}
@@ -50,13 +50,13 @@
 
 func steadyFleetWith(seed uint64, count int, s Settings) *network {
 	w := startFleet(seed, count, s)
-	w.knowEachOther()
+	w.fillTables()
 	w.run(2 * time.Second)
 	w.sent, w.bytes = 0, 0
 	return w
 }
 
-// BenchmarkSteady reports what an instance sends, without and with a new
+// BenchmarkSteady reports the traffic and CPU time per instance, without and with a new
 // configuration offset every 24 s (3,600 a day).
 func BenchmarkSteady(b *testing.B) {
 	const span = 48 * time.Second
@@ -85,15 +85,15 @@
 	}
 }
 
-// followOffsets lets instances apply a configuration when they hear of it.
+// followOffsets makes each instance apply the highest offset it has received.
 func (w *network) followOffsets() {
 	for _, id := range w.ids {
 		w.nodes[id].SetOffset(w.nodes[id].maxOffset)
 	}
 }
 
-// BenchmarkOffset reports how long a new offset at one instance takes until
-// every instance knows of an instance that has it.
+// BenchmarkOffset reports the time until every instance has received a new offset
+// that one instance applied.
 func BenchmarkOffset(b *testing.B) {
 	for _, count := range []int{12, 44, 920} {
 		b.Run(fmt.Sprintf("instances=%d", count), func(b *testing.B) {
@@ -116,8 +116,8 @@
 	}
 }
 
-// BenchmarkCrash reports the time from a crash until the first view and until
-// all views hold the instance dead.
+// BenchmarkCrash reports the time from a crash until the instance is dead in the
+// first view and in all views.
 func BenchmarkCrash(b *testing.B) {
 	for _, count := range []int{4, 12, 44, 920} {
 		for _, loss := range []float64{0, 0.05} {
@@ -140,9 +140,9 @@
 	}
 }
 
-// BenchmarkZoneLost reports the time until all views are rid of a third or a
-// sixth of the fleet that crashed at once, the bytes that an instance sends
-// meanwhile, and false deaths among the rest.
+// BenchmarkZoneLost reports, after a third or a sixth of the fleet crashes at once,
+// the time until all views have removed it, the bytes that an instance sends
+// meanwhile, and false deaths among the remaining instances.
 func BenchmarkZoneLost(b *testing.B) {
 	for count, lost := range map[int]int{44: 15, 920: 153} {
 		b.Run(fmt.Sprintf("instances=%d/lost=%d", count, lost), func(b *testing.B) {
@@ -169,8 +169,8 @@
 	}
 }
 
-// BenchmarkSuspicionFactor weighs detection of a crash against false deaths
-// with 5% of messages lost, in a fleet of 44.
+// BenchmarkSuspicionFactor compares crash detection time with the rate of false
+// deaths at 5% message loss in a fleet of 44.
 func BenchmarkSuspicionFactor(b *testing.B) {
 	for _, factor := range []float64{1, 2, 3, 4} {
 		b.Run(fmt.Sprintf("factor=%v", factor), func(b *testing.B) {
@@ -208,8 +208,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkAccusations reports accusations of running instances over an hour
-// of the fleet, with messages lost and with one-way cuts of random pairs.
+// BenchmarkAccusations reports suspicions and deaths of running instances per hour
+// with message loss and with one-way cuts between random pairs.
 func BenchmarkAccusations(b *testing.B) {
 	for _, count := range []int{12, 44, 920} {
 		for _, loss := range []float64{0.01, 0.02, 0.05} {
--- a/membership/member.go
+++ b/membership/member.go
@@ -10,21 +10,22 @@
 )
 
 // State is the state of a member. Of two records with the same incarnation
-// and version the one with the higher state holds.
+// and version, the one with the higher state takes precedence.
 type State uint8
 
 const (
-	// Alive members answer, as far as is known.
+	// Alive members are neither suspected nor stopping.
 	Alive State = iota + 1
-	// Leaving members said that they will stop soon.
+	// Leaving members announced that they will stop soon.
 	Leaving
 	// Suspect members failed a probe and have not refuted it yet.
 	Suspect
-	// Dead members did not refute a suspicion in time, or said goodbye.
+	// Dead members did not refute a suspicion in time, or announced that
+	// they stopped.
 	Dead
 )
 
-// String returns the state as logs and status pages write it.
+// String returns the name of the state as used in logs and status pages.
 func (s State) String() string {
 	switch s {
 	case Alive:
@@ -39,7 +40,7 @@
 	return fmt.Sprintf("state(%d)", uint8(s))
 }
 
-// MarshalText writes the state as status pages do.
+// MarshalText returns the same text as String.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 // Member is the record of one process of an instance.
@@ -53,19 +54,19 @@
 	// Addr is the IP address and port at which peers reach the member.
 	Addr string     `json:"addr"`
 	Zone fleet.Zone `json:"zone"`
-	// Offset is the configuration offset that the member has applied, at
-	// least. It only grows within one incarnation.
+	// Offset is a lower bound of the configuration offset that the member has
+	// applied. It never decreases within one incarnation.
 	Offset int64 `json:"offset"`
-	// Ready tells whether the member takes work from the balancer.
+	// Ready reports whether the member accepts requests from the balancer.
 	Ready bool `json:"ready"`
 }
 
-// Holder names the member's process.
+// Holder returns the instance ID and incarnation of the member's process.
 func (m Member) Holder() fleet.Holder {
 	return fleet.Holder{Instance: m.ID, Incarnation: m.Incarnation}
 }
 
-// supersedes tells whether record m replaces record old of the same instance.
+// supersedes reports whether record m replaces record old of the same instance.
 func (m Member) supersedes(old Member) bool {
 	if m.Incarnation != old.Incarnation {
 		return m.Incarnation > old.Incarnation
@@ -82,17 +83,18 @@
 	return fixed + len(m.ID) + len(m.Addr) + len(m.Zone)
 }
 
-// View is an immutable snapshot of a table. The instance's own record is in
-// it; dead members are not.
+// View is an immutable snapshot of a table. It includes the instance's own
+// record and excludes dead members.
 type View struct {
 	// Self is the instance that holds the view.
 	Self fleet.InstanceID
-	// Members is sorted by ID. It must not be changed.
+	// Members is sorted by ID. Callers must not modify it.
 	Members []Member
-	// Epoch changes whenever a member joins, goes, restarts, or changes its
-	// state, address or readiness, but not with offsets.
+	// Epoch changes whenever a member joins, is removed, restarts, or changes
+	// its state, address or readiness, but not when an offset changes.
 	Epoch uint64
-	// LastContact is when a peer last answered; zero if none ever did.
+	// LastContact is the time of the last answer from a peer; zero if there
+	// was none.
 	LastContact time.Time
 	byID        map[fleet.InstanceID]int
 }
@@ -131,7 +133,7 @@
 }
 
 // Offsets returns the configuration offset of each other member that is alive
-// or leaving. An offset may lag behind the member's true one.
+// or leaving. An offset may lag behind the one actually applied.
 func (v *View) Offsets() map[fleet.InstanceID]int64 {
 	offsets := make(map[fleet.InstanceID]int64, len(v.Members))
 	for _, m := range v.Members {
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -7,50 +7,50 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// unreachableAfter is how many intervals an instance goes without a ping
-// before it takes itself as unreachable. Peers ping it once in each, on
-// average.
-const unreachableAfter = 10
+// unreachableIntervals is the number of intervals without an incoming ping
+// after which an instance considers itself unreachable. On average, peers ping
+// it once per interval.
+const unreachableIntervals = 10
 
-// aloneAfter is how many suspicion times an instance goes without any answer
-// before it takes the others for dead rather than itself for cut off.
-const aloneAfter = 10
+// isolationFactor is the number of suspicion times without any answer after
+// which an instance considers its peers dead rather than itself isolated.
+const isolationFactor = 10
 
-// merge folds one record. With spread, a record that is news is passed on;
-// without, only if it is news of a member that was known before: records that
-// a fresh instance learns in bulk are old news to its peers.
-func (n *Node) merge(now time.Time, m Member, spread bool) {
+// merge applies one record to the table. A newer record is queued for gossip if
+// gossip is set or the member is already in the table. Records of new members
+// from a bulk sync are not queued, because the peers already have them.
+func (n *Node) merge(now time.Time, m Member, gossip bool) {
 	if m.ID == n.self.ID {
 		n.refute(now, m)
 		return
 	}
-	old, known := n.table[m.ID]
-	if !known {
+	old, exists := n.table[m.ID]
+	if !exists {
 		if m.State == Dead {
 			return
 		}
 		old = &entry{}
 		n.table[m.ID] = old
 	}
-	if known && !m.supersedes(old.Member) {
+	if exists && !m.supersedes(old.Member) {
 		n.raiseOffset(old, m)
-		n.correct(old, m)
+		n.correctStale(old, m)
 		return
 	}
 	if m.Incarnation == old.Incarnation {
 		m.Offset = max(m.Offset, old.Offset)
 	}
-	n.count(old, m)
-	n.changed()
+	n.updateLive(old, m)
+	n.markChanged()
 	old.Member = m
 	old.since = now
-	old.accused = false
+	old.ownSuspicion = false
 	old.until = n.deadline(now, m.State)
 	if !old.until.IsZero() {
 		n.expireBy(old.until)
 	}
 	n.maxOffset = max(n.maxOffset, m.Offset)
-	if spread || known {
+	if gossip || exists {
 		n.enqueue(old)
 	}
 }
@@ -63,16 +63,17 @@
 	}
 }
 
-// correct passes a record on once more, in the answer at the latest, if the
-// sender accuses the member by an older one.
-func (n *Node) correct(e *entry, m Member) {
+// correctStale queues the current record e for at least one more transmission if
+// the received record m is an older suspicion or death of the same member. The
+// answer to the sender can then carry the correction.
+func (n *Node) correctStale(e *entry, m Member) {
 	if m.State >= Suspect && e.supersedes(m) {
-		n.enqueueTimes(e, max(e.spread, 1))
+		n.enqueueTimes(e, max(e.sendsLeft, 1))
 	}
 }
 
-// count keeps the number of members that are not dead.
-func (n *Node) count(old *entry, m Member) {
+// updateLive adjusts the number of members that are not dead when m replaces old.
+func (n *Node) updateLive(old *entry, m Member) {
 	wasLive := old.State != 0 && old.State != Dead
 	isLive := m.State != Dead
 	if isLive && !wasLive {
@@ -93,33 +94,33 @@
 	return time.Time{}
 }
 
-// refute answers a record about this instance that others hold. An instance
-// that nobody can reach, though it reaches others, does not refute: it is of
-// no use to them until a ping gets through again.
+// refute handles a record about this instance itself. An instance that its peers
+// cannot ping, although it can send to them, does not refute: it is of no use
+// to them until a ping arrives again.
 func (n *Node) refute(now time.Time, m Member) {
 	if m.Incarnation > n.self.Incarnation {
 		n.superseded = true
 		return
 	}
-	if !m.supersedes(n.self) || now.Sub(n.lastPinged) > unreachableAfter*n.settings.Interval {
+	if !m.supersedes(n.self) || now.Sub(n.lastPinged) > unreachableIntervals*n.settings.Interval {
 		return
 	}
 	n.self.Version = m.Version
 	n.announce()
 }
 
-// expire ends suspicions and forgets tombstones whose time has come.
+// expire declares suspects dead and deletes tombstones whose time has passed.
 func (n *Node) expire(now time.Time) {
 	if now.Before(n.expireAt) {
 		return
 	}
 	n.expireAt = now.Add(n.settings.TombstoneTTL)
-	for _, id := range n.timed() {
+	for _, id := range n.expiringMembers() {
 		e := n.table[id]
 		switch {
 		case now.Before(e.until):
 			n.expireBy(e.until)
-		case e.State == Suspect && n.maybeCutOff(now, e.since):
+		case e.State == Suspect && n.maybeIsolated(now, e.since):
 			e.until = now.Add(n.settings.Interval)
 			n.expireBy(e.until)
 		case e.State == Suspect:
@@ -128,21 +129,21 @@
 			n.merge(now, dead, true)
 		default:
 			delete(n.table, id)
-			e.spread = 0
+			e.sendsLeft = 0
 		}
 	}
 }
 
-// maybeCutOff tells whether nobody answered this instance since a time. The
-// fault is then more likely here, unless it lasts so long that this must be
-// the only instance left.
-func (n *Node) maybeCutOff(now, since time.Time) bool {
-	limit := aloneAfter * n.settings.suspicionTime(n.live)
+// maybeIsolated reports whether this instance has had no answer since the given
+// time, in which case the fault is more likely local. After isolationFactor
+// suspicion times it returns false: this must be the only instance left.
+func (n *Node) maybeIsolated(now, since time.Time) bool {
+	limit := isolationFactor * n.settings.suspicionTime(n.live)
 	return n.lastContact.Before(since) && now.Sub(since) < limit
 }
 
-// timed returns the members that are suspect or dead, in a fixed order.
-func (n *Node) timed() []fleet.InstanceID {
+// expiringMembers returns the IDs of suspect and dead members in sorted order.
+func (n *Node) expiringMembers() []fleet.InstanceID {
 	var ids []fleet.InstanceID
 	for id, e := range n.table {
 		if !e.until.IsZero() {
--- a/membership/message.go
+++ b/membership/message.go
@@ -16,46 +16,47 @@
 	Ack
 	// PingRequest asks the receiver to ping Target on the sender's behalf.
 	PingRequest
-	// IndirectAck tells that Target answered the ping asked for under Seq.
+	// IndirectAck reports that Target answered the ping requested with Seq.
 	IndirectAck
 	// SyncRequest carries the sender's digest.
 	SyncRequest
-	// SyncReply carries the records in which the digests differ, and the
-	// replier's digest.
+	// SyncReply carries the records of the buckets whose digests differ, and
+	// the replier's digest.
 	SyncReply
-	// SyncPush carries the records that a SyncReply's sender lacked.
+	// SyncPush carries records that the receiver lacks. It is not answered.
 	SyncPush
 )
 
 // Limits of a received message.
 const (
-	maxName    = 128
-	maxVersion = 1 << 48
-	maxRecords = 4096
-	buckets    = 64
+	maxNameBytes = 128
+	maxVersion   = 1 << 48
+	maxRecords   = 4096
+	buckets      = 64
 )
 
-// ErrMalformed tells that a message was refused and had no effect.
+// ErrMalformed is returned for an invalid message, which is dropped without
+// effect.
 var ErrMalformed = errors.New("malformed membership message")
 
 // Message is one message between two instances.
 type Message struct {
 	Kind Kind
-	// Seq ties an ack to its ping.
+	// Seq matches an ack to its ping.
 	Seq uint64
 	// From is the sender's own record.
 	From Member
 	// Target is the probed member in PingRequest and IndirectAck.
 	Target fleet.InstanceID
-	// Updates are records that the sender passes on.
+	// Updates holds the records that the sender forwards.
 	Updates []Member
-	// Digest has one sum for each bucket of the sender's table.
+	// Digest holds one checksum for each bucket of the sender's table.
 	Digest []uint64
-	// More tells that a SyncReply was cut at its size limit.
+	// More reports that a SyncReply was truncated at its size limit.
 	More bool
 }
 
-// Envelope is a message and where to send it.
+// Envelope is a message with its destination.
 type Envelope struct {
 	To      fleet.InstanceID
 	Addr    string
@@ -72,8 +73,8 @@
 	return n
 }
 
-// Check returns ErrMalformed, with the reason, for a message that no correct
-// instance sends.
+// Check returns an error that wraps ErrMalformed and names the reason if the
+// message is invalid.
 func (m Message) Check() error {
 	if m.Kind < Ping || m.Kind > SyncPush {
 		return errors.Wrapf(ErrMalformed, "kind %d", m.Kind)
@@ -81,7 +82,7 @@
 	if len(m.Updates) > maxRecords {
 		return errors.Wrapf(ErrMalformed, "%d records", len(m.Updates))
 	}
-	if needsDigest(m.Kind) != (len(m.Digest) == buckets) || len(m.Target) > maxName {
+	if needsDigest(m.Kind) != (len(m.Digest) == buckets) || len(m.Target) > maxNameBytes {
 		return errors.Wrapf(ErrMalformed, "digest of %d sums", len(m.Digest))
 	}
 	if err := checkMember(m.From); err != nil {
@@ -99,9 +100,9 @@
 
 func checkMember(m Member) error {
 	switch {
-	case m.ID == "" || len(m.ID) > maxName:
+	case m.ID == "" || len(m.ID) > maxNameBytes:
 		return errors.Wrapf(ErrMalformed, "id of %d bytes", len(m.ID))
-	case m.Addr == "" || len(m.Addr) > maxName || len(m.Zone) > maxName:
+	case m.Addr == "" || len(m.Addr) > maxNameBytes || len(m.Zone) > maxNameBytes:
 		return errors.Wrapf(ErrMalformed, "address or zone of %q", m.ID)
 	case m.Incarnation <= 0:
 		return errors.Wrapf(ErrMalformed, "incarnation %d of %q", m.Incarnation, m.ID)
--- a/membership/network_test.go
+++ b/membership/network_test.go
@@ -15,14 +15,14 @@
 
 var testStart = time.Unix(1000, 0)
 
-// delivery is a message under way.
+// delivery is a message in transit.
 type delivery struct {
 	at  time.Time
 	to  fleet.InstanceID
 	msg Message
 }
 
-// network carries messages in memory and in simulated time.
+// network is an in-memory network with simulated time.
 type network struct {
 	now      time.Time
 	rand     *rand.Rand
@@ -32,7 +32,7 @@
 	paused   map[fleet.InstanceID]bool
 	cut      map[[2]fleet.InstanceID]bool // from, to
 	loss     float64
-	queue    []delivery // in the order of their times: the latency is constant
+	queue    []delivery // ordered by time, because the latency is constant
 	sent     int
 	bytes    int
 	watch    func()
@@ -53,7 +53,7 @@
 	return Member{ID: id, Incarnation: incarnation, Version: 1, State: Alive, Addr: "10.11.12.13:7100", Zone: "riga-a"}
 }
 
-// start runs a process under an ID, in place of one that ran before.
+// start starts a process under an ID and replaces any earlier one.
 func (w *network) start(id fleet.InstanceID, incarnation fleet.Incarnation, listed []fleet.InstanceID) {
 	if _, ok := w.nodes[id]; !ok {
 		w.ids = append(w.ids, id)
@@ -81,15 +81,15 @@
 	return w
 }
 
-// knowEachOther fills the tables, so that a run need not begin with the joins.
-func (w *network) knowEachOther() {
+// fillTables adds every instance to every table, so that a run needs no join phase.
+func (w *network) fillTables() {
 	for _, id := range w.ids {
 		n := w.nodes[id]
 		for _, other := range w.ids {
 			n.merge(w.now, w.nodes[other].self, false)
 		}
-		n.spreading = nil
-		n.selfLeft = 0
+		n.gossipQueue = nil
+		n.selfSendsLeft = 0
 	}
 }
 
@@ -124,7 +124,7 @@
 	w.now = end
 }
 
-// run moves the time on. Instances tick in turn, spread over each tick's time.
+// run advances the time by d. Instances tick in turn, evenly spaced within a tick.
 func (w *network) run(d time.Duration) {
 	step := testTick / time.Duration(max(len(w.ids), 1))
 	for end := w.now.Add(d); w.now.Before(end); {
@@ -142,7 +142,8 @@
 	}
 }
 
-// until runs until a condition holds, at most for a time, and returns how long.
+// until runs until the condition holds or the limit passes. It returns the time
+// taken and whether the condition holds.
 func (w *network) until(limit time.Duration, condition func() bool) (time.Duration, bool) {
 	begin := w.now
 	for !condition() {
@@ -173,7 +174,7 @@
 	return ids
 }
 
-// allSee tells whether each other running instance has id in a state.
+// allSee reports whether every other running instance sees id in state s.
 func (w *network) allSee(id fleet.InstanceID, s State) bool {
 	for _, viewer := range w.running() {
 		if viewer != id && w.state(viewer, id) != s {
@@ -183,7 +184,7 @@
 	return true
 }
 
-// anySees tells whether another running instance has id in a state.
+// anySees reports whether another running instance sees id in state s.
 func (w *network) anySees(id fleet.InstanceID, s State) bool {
 	for _, viewer := range w.running() {
 		if viewer != id && w.state(viewer, id) == s {
@@ -193,8 +194,8 @@
 	return false
 }
 
-// converged tells whether the views of all running instances hold exactly
-// these, alive and under their current incarnations.
+// converged reports whether the view of every running instance contains exactly the
+// running instances, alive and under their current incarnations.
 func (w *network) converged() bool {
 	running := w.running()
 	for _, viewer := range running {
--- a/membership/node.go
+++ b/membership/node.go
@@ -11,52 +11,53 @@
 // entry is a row of the table: a member's record and its timers.
 type entry struct {
 	Member
-	// until ends the suspicion of a suspect, or the tombstone of a dead member.
+	// until is when the suspicion of a suspect or the tombstone of a dead
+	// member expires; zero for other states.
 	until time.Time
-	// since is when the record was folded.
+	// since is when the record was applied.
 	since time.Time
-	// accused tells that the suspicion is this instance's own.
-	accused bool
-	// spread is how often the record will still be passed on.
-	spread int
+	// ownSuspicion reports whether this instance itself raised the suspicion.
+	ownSuspicion bool
+	// sendsLeft is the number of transmissions left for the record.
+	sendsLeft int
 }
 
-// Seed is an instance that the platform's list names.
+// Seed is an instance named in the platform's list.
 type Seed struct {
 	ID   fleet.InstanceID
 	Addr string
 }
 
-// Node is one instance's table and the protocol's state.
+// Node holds the member table and protocol state of one instance.
 type Node struct {
 	settings Settings
 	rand     *rand.Rand
 	self     Member
 	table    map[fleet.InstanceID]*entry
-	live     int // members that are not dead, self included
+	live     int // members that are not dead, including self
 	seeds    []Seed
 
-	probes    map[uint64]*probe
-	relayed   map[uint64]relayedPing
-	order     []fleet.InstanceID // members still to be probed in this round
-	lastSeq   uint64
-	health    int // failed probes in excess of answered ones, 0 to maxHealth
-	spreading []*entry
-	selfLeft  int // how often the own record will still be passed on
+	probes        map[uint64]*probe
+	relayed       map[uint64]relayedPing
+	order         []fleet.InstanceID // members left to probe in this round
+	lastSeq       uint64
+	health        int // failed minus answered probes, limited to 0..maxHealth; 0 is healthy
+	gossipQueue   []*entry
+	selfSendsLeft int // transmissions left for this instance's own record
 
 	lastTick, nextProbe, nextSync, nextSeed time.Time
 
 	lastContact time.Time // when a peer last answered
 	lastPinged  time.Time // when a peer last pinged this instance
-	expireAt    time.Time // no timer of the table ends before
+	expireAt    time.Time // lower bound of all timers in the table
 	maxOffset   int64     // the highest configuration offset seen
 	superseded  bool
 	epoch       uint64
 	view        *View
 }
 
-// New returns the node of an instance that starts now. The record's state is
-// set to Alive. Settings must have passed their Check.
+// New returns the node of a starting instance. It sets the state of the record
+// to Alive. The settings must have passed Settings.Check.
 func New(self Member, settings Settings, r *rand.Rand) *Node {
 	self.State = Alive
 	self.Version = max(self.Version, 1)
@@ -74,13 +75,13 @@
 	return n
 }
 
-// SetListed replaces the instances that the platform's list names.
+// SetListed replaces the seeds, the instances named in the platform's list.
 func (n *Node) SetListed(seeds []Seed) {
 	n.seeds = slices.Clone(seeds)
 }
 
-// SetOffset tells peers, as messages go, which configuration offset this
-// instance has applied. A lower offset than before is ignored.
+// SetOffset sets the configuration offset that this instance has applied. Peers
+// receive it with the next messages. A lower offset than before is ignored.
 func (n *Node) SetOffset(offset int64) {
 	if offset > n.self.Offset {
 		n.self.Offset = offset
@@ -88,7 +89,7 @@
 	}
 }
 
-// SetReady announces whether this instance takes work.
+// SetReady announces whether this instance accepts requests.
 func (n *Node) SetReady(ready bool) {
 	if ready != n.self.Ready {
 		n.self.Ready = ready
@@ -104,7 +105,7 @@
 	}
 }
 
-// Goodbye returns messages that tell a few members that this instance has
+// Goodbye returns messages that announce to a few members that this instance has
 // stopped. The node must not be used afterwards.
 func (n *Node) Goodbye() []Envelope {
 	n.self.State = Dead
@@ -116,28 +117,29 @@
 	return out
 }
 
-// Superseded tells whether a later process runs under this instance's ID.
+// Superseded reports whether a later process runs under this instance's ID.
 func (n *Node) Superseded() bool { return n.superseded }
 
-// announce raises the own version and passes the record on.
+// announce raises the version of this instance's record and queues it for gossip.
 func (n *Node) announce() {
 	n.self.Version++
-	n.selfLeft = n.settings.spreadCount(n.live)
-	n.changed()
+	n.selfSendsLeft = n.settings.spreadCount(n.live)
+	n.markChanged()
 }
 
-func (n *Node) changed() {
+func (n *Node) markChanged() {
 	n.epoch++
 	n.view = nil
 }
 
-// View returns the current snapshot. It is the same one while nothing changes.
+// View returns the current snapshot. It returns the same pointer until something
+// changes.
 func (n *Node) View() *View {
 	if n.view == nil {
 		n.view = n.newView()
 	}
 	if n.view.LastContact != n.lastContact {
-		v := *n.view // the members are shared
+		v := *n.view // shares the member slice
 		v.LastContact = n.lastContact
 		n.view = &v
 	}
@@ -156,9 +158,9 @@
 	return v
 }
 
-// Tick moves the node's time on and returns the messages to send.
+// Tick runs the timers that are due and returns the messages to send.
 func (n *Node) Tick(now time.Time) []Envelope {
-	n.forgivePause(now)
+	n.handlePause(now)
 	n.lastTick = now
 	n.expire(now)
 	out := n.tickProbes(now)
@@ -176,9 +178,9 @@
 	return out
 }
 
-// forgivePause handles a process that was stopped for a while: acks that it
-// could not read accuse nobody, and suspects get their full time.
-func (n *Node) forgivePause(now time.Time) {
+// handlePause resets timers after the process was paused: it drops pending probes,
+// whose acks could not be read, and extends suspicions by the length of the pause.
+func (n *Node) handlePause(now time.Time) {
 	if n.lastTick.IsZero() {
 		n.lastPinged = now
 		return
@@ -197,16 +199,16 @@
 	}
 }
 
-// Receive folds a message and returns the answers to it. A malformed message
-// has no effect and gives ErrMalformed.
+// Receive applies a message and returns the replies to send. A malformed message
+// has no effect and returns ErrMalformed.
 func (n *Node) Receive(now time.Time, m Message) ([]Envelope, error) {
 	if err := m.Check(); err != nil {
 		return nil, err
 	}
-	spread := m.Kind != SyncReply && m.Kind != SyncPush
+	gossip := m.Kind != SyncReply && m.Kind != SyncPush
 	n.merge(now, m.From, true)
 	for _, u := range m.Updates {
-		n.merge(now, u, spread)
+		n.merge(now, u, gossip)
 	}
 	if m.From.ID == n.self.ID {
 		return nil, nil
@@ -220,7 +222,7 @@
 	case PingRequest:
 		return n.onPingRequest(now, m), nil
 	case IndirectAck:
-		n.answered(now, m.Seq, m.Target)
+		n.probeAnswered(now, m.Seq, m.Target)
 	case SyncRequest:
 		return []Envelope{n.syncReply(m)}, nil
 	case SyncReply:
--- a/membership/node_test.go
+++ b/membership/node_test.go
@@ -20,11 +20,11 @@
 	}
 }
 
-// The time of the last contact goes on in a fleet where nothing changes, and
-// stops for an instance that nobody answers.
+// LastContact advances while nothing changes in the fleet, and stops for an
+// instance that receives no answers.
 func TestLastContact(t *testing.T) {
 	w := startFleet(1, 4, Settings{})
-	w.knowEachOther()
+	w.fillTables()
 	w.run(10 * time.Second)
 	before := w.nodes[testID(0)].View()
 	w.run(30 * time.Second)
@@ -36,7 +36,7 @@
 	assert.Assert(t, w.now.Sub(w.nodes[testID(0)].View().LastContact) >= 29*time.Second)
 }
 
-// The list has dead instances and lacks live ones.
+// The list names dead instances and lacks live ones.
 func TestListLagsInBothDirections(t *testing.T) {
 	w := startFleet(1, 8, Settings{})
 	w.until(time.Minute, w.converged)
@@ -45,13 +45,13 @@
 	w.start(testID(8), 1, stale)
 	_, ok := w.until(time.Minute, w.converged)
 	assert.Assert(t, ok)
-	w.watch = func() { assert.Assert(t, w.converged(), "a listed dead instance came back") }
+	w.watch = func() { assert.Assert(t, w.converged(), "a dead instance on the list was restored") }
 	w.run(time.Minute)
 }
 
 func TestCrashIsFoundByAll(t *testing.T) {
 	w := startFleet(1, 12, Settings{})
-	w.knowEachOther()
+	w.fillTables()
 	w.run(10 * time.Second)
 	w.crash(testID(3))
 	took, ok := w.until(time.Minute, func() bool { return w.allSee(testID(3), Dead) })
@@ -61,7 +61,7 @@
 
 func TestRestartReplacesTheOldIncarnation(t *testing.T) {
 	w := startFleet(1, 8, Settings{})
-	w.knowEachOther()
+	w.fillTables()
 	w.run(5 * time.Second)
 	w.start(testID(2), 2, w.ids)
 	_, ok := w.until(20*time.Second, w.converged)
@@ -70,7 +70,7 @@
 
 func TestGoodbyeNeedsNoSuspicion(t *testing.T) {
 	w := startFleet(1, 8, Settings{})
-	w.knowEachOther()
+	w.fillTables()
 	w.nodes[testID(2)].Leave()
 	_, ok := w.until(5*time.Second, func() bool { return w.allSee(testID(2), Leaving) })
 	assert.Assert(t, ok)
@@ -81,25 +81,26 @@
 	assert.Assert(t, ok)
 }
 
-// A one-way cut between two instances accuses neither.
+// A one-way cut between two instances makes neither a suspect.
 func TestOneWayCutAccusesNobody(t *testing.T) {
 	w := startFleet(1, 12, Settings{})
-	w.knowEachOther()
+	w.fillTables()
 	w.cut[[2]fleet.InstanceID{testID(0), testID(1)}] = true
 	w.cut[[2]fleet.InstanceID{testID(2), testID(3)}] = true
 	w.watch = func() { assert.Assert(t, w.converged()) }
 	w.run(2 * time.Minute)
 }
 
-// An instance that reaches all and is reached by none goes, and comes back.
+// An instance that can send but not receive is removed, and added again once it is
+// reachable.
 func TestInstanceThatNobodyReaches(t *testing.T) {
 	w := startFleet(1, 12, Settings{})
-	w.knowEachOther()
+	w.fillTables()
 	w.run(5 * time.Second)
 	w.cutTo(testID(5), true)
 	_, ok := w.until(time.Minute, func() bool { return w.allSee(testID(5), Dead) })
 	assert.Assert(t, ok)
-	w.watch = func() { assert.Assert(t, w.allSee(testID(5), Dead), "flaps") }
+	w.watch = func() { assert.Assert(t, w.allSee(testID(5), Dead), "unreachable instance was restored") }
 	w.run(time.Minute)
 	w.watch = nil
 	w.cutTo(testID(5), false)
@@ -107,10 +108,11 @@
 	assert.Assert(t, ok)
 }
 
-// An instance that hears all and reaches none accuses nobody for long.
+// An instance that can receive but not send is declared dead, and declares no other
+// instance dead.
 func TestInstanceThatReachesNobody(t *testing.T) {
 	w := startFleet(1, 12, Settings{})
-	w.knowEachOther()
+	w.fillTables()
 	for _, id := range w.ids {
 		w.cut[[2]fleet.InstanceID{testID(5), id}] = true
 	}
@@ -131,10 +133,11 @@
 	}
 }
 
-// The last instance gives up the others, though later than one of many would.
+// The last running instance declares the others dead, later than an instance with
+// live peers would.
 func TestLastInstance(t *testing.T) {
 	w := startFleet(1, 12, Settings{})
-	w.knowEachOther()
+	w.fillTables()
 	w.run(5 * time.Second)
 	for _, id := range w.ids[1:] {
 		w.crash(id)
@@ -145,10 +148,11 @@
 	assert.Assert(t, ok)
 }
 
-// A paused instance is given up; when it wakes it accuses nobody and returns.
+// A paused instance is declared dead. When it resumes it suspects nobody and
+// rejoins.
 func TestPausedInstanceWakes(t *testing.T) {
 	w := startFleet(1, 12, Settings{})
-	w.knowEachOther()
+	w.fillTables()
 	w.run(5 * time.Second)
 	w.paused[testID(4)] = true
 	w.run(30 * time.Second)
@@ -166,7 +170,7 @@
 
 func TestPartitionHeals(t *testing.T) {
 	w := startFleet(1, 12, Settings{})
-	w.knowEachOther()
+	w.fillTables()
 	set := func(cut bool) {
 		for i := range 12 {
 			for j := range 12 {
@@ -187,7 +191,7 @@
 
 func TestOffsetsSpread(t *testing.T) {
 	w := startFleet(1, 44, Settings{})
-	w.knowEachOther()
+	w.fillTables()
 	w.nodes[testID(0)].SetOffset(7)
 	w.nodes[testID(0)].SetOffset(6)
 	_, ok := w.until(9*time.Second, func() bool {
@@ -215,7 +219,7 @@
 	n.Tick(testStart.Add(11 * time.Minute))
 	assert.Equal(t, len(n.table), 0)
 	n.message(Ping)
-	assert.Equal(t, len(n.spreading), 0)
+	assert.Equal(t, len(n.gossipQueue), 0)
 }
 
 func TestSupersededByALaterProcess(t *testing.T) {
@@ -247,8 +251,8 @@
 	return m
 }
 
-// Whatever the order of arrival, the latest record of a known member holds,
-// and its offset never falls within an incarnation.
+// The latest record of a member takes precedence in any order of arrival, and its
+// offset never decreases within an incarnation.
 func TestLatestRecordHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := New(testMember("self", 1), Settings{}, rand.New(rand.NewPCG(1, 1)))
@@ -261,20 +265,20 @@
 			n.merge(testStart, m, true)
 			after := n.table["x"].Member
 			if before.Incarnation == after.Incarnation && after.Offset < before.Offset {
-				t.Fatalf("offset fell from %d to %d", before.Offset, after.Offset)
+				t.Fatalf("offset decreased from %d to %d", before.Offset, after.Offset)
 			}
 		}
-		held := n.table["x"].Member
+		current := n.table["x"].Member
 		for _, m := range seen {
-			if m.supersedes(held) {
-				t.Fatalf("holds %v, superseded by %v", held, m)
+			if m.supersedes(current) {
+				t.Fatalf("table has %v, superseded by %v", current, m)
 			}
 		}
 	})
 }
 
-// Whatever happened, once the faults end the views of all running instances
-// hold exactly these.
+// After any sequence of faults ends, the view of every running instance contains
+// exactly the running instances.
 func TestViewsConvergeOnceFaultsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(3, 9).Draw(t, "count")
@@ -306,19 +310,20 @@
 	})
 }
 
-// While each instance is party to one cut at most, nobody is accused.
+// No member is suspected while each instance is affected by at most one cut, since
+// relays remain.
 func TestCutsWithARelayLeftAccuseNobody(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(6, 16).Draw(t, "count")
 		w := startFleet(rapid.Uint64().Draw(t, "seed"), count, Settings{})
-		w.knowEachOther()
+		w.fillTables()
 		order := rapid.Permutation(w.ids).Draw(t, "pairs")
 		for i := 0; i+1 < len(order); i += 2 {
 			w.cut[[2]fleet.InstanceID{order[i], order[i+1]}] = true
 		}
 		w.watch = func() {
 			if !w.converged() {
-				t.Fatal("a member was accused")
+				t.Fatal("views changed: a member was suspected or removed")
 			}
 		}
 		w.run(30 * time.Second)
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -7,19 +7,20 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// maxHealth bounds Node.health. At this value an instance takes itself for
-// the sick one and accuses nobody.
+// maxHealth is the upper limit of Node.health. At this value an instance considers
+// itself unhealthy and suspects nobody, unless it has had no answer for
+// isolationFactor suspicion times.
 const maxHealth = 8
 
-// maxAccused bounds the suspects that are pinged again in one interval.
-const maxAccused = 3
+// maxSuspectPings limits the number of suspects that are pinged again per interval.
+const maxSuspectPings = 3
 
-// probe is a ping of ours that waits for its ack.
+// probe is a ping from this instance that awaits its ack.
 type probe struct {
 	target fleet.Holder
-	// indirectAt is when third members are asked; zero once they are.
+	// indirectAt is when relays are asked; zero once that is done.
 	indirectAt time.Time
-	// endAt is when the probe has failed.
+	// endAt is when the probe times out.
 	endAt time.Time
 }
 
@@ -36,11 +37,11 @@
 	return n.lastSeq
 }
 
-// startProbes pings the next member of the round, and again the suspects that
-// this instance accused, so that they hear of it and refute in time.
+// startProbes pings the next member of the round. It also pings the suspects that
+// whose suspicion this instance raised, so that they can refute it in time.
 func (n *Node) startProbes(now time.Time) []Envelope {
 	var out []Envelope
-	for _, e := range n.accused() {
+	for _, e := range n.ownSuspects() {
 		out = append(out, n.startProbe(now, e))
 	}
 	if e := n.nextTarget(); e != nil {
@@ -49,31 +50,32 @@
 	return out
 }
 
-// accused returns some of the suspects that this instance accused.
-func (n *Node) accused() []*entry {
-	var accused []*entry
-	for _, id := range n.timed() {
+// ownSuspects returns up to maxSuspectPings suspects whose suspicion this instance
+// raised.
+func (n *Node) ownSuspects() []*entry {
+	var suspects []*entry
+	for _, id := range n.expiringMembers() {
 		e := n.table[id]
-		if e.State == Suspect && e.accused && len(accused) < maxAccused {
-			accused = append(accused, e)
+		if e.State == Suspect && e.ownSuspicion && len(suspects) < maxSuspectPings {
+			suspects = append(suspects, e)
 		}
 	}
-	return accused
+	return suspects
 }
 
 func (n *Node) startProbe(now time.Time, e *entry) Envelope {
 	seq := n.nextSeq()
-	patience := time.Duration(1 + n.health)
-	indirectAt := now.Add(patience * n.settings.AckTimeout)
+	scale := time.Duration(1 + n.health)
+	indirectAt := now.Add(scale * n.settings.AckTimeout)
 	n.probes[seq] = &probe{
 		target:     e.Holder(),
 		indirectAt: indirectAt,
-		endAt:      indirectAt.Add(patience * n.settings.IndirectTimeout),
+		endAt:      indirectAt.Add(scale * n.settings.IndirectTimeout),
 	}
 	return n.ping(e, seq)
 }
 
-// nextTarget takes the next member that is not dead from the round's order.
+// nextTarget removes and returns the next member of the round that is not dead.
 func (n *Node) nextTarget() *entry {
 	if len(n.order) == 0 {
 		n.order = n.shuffledMembers()
@@ -95,12 +97,13 @@
 			ids = append(ids, id)
 		}
 	}
-	slices.Sort(ids) // map order must not decide: same seed, same run
+	slices.Sort(ids) // map order is random; the same seed must give the same run
 	n.rand.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 	return ids
 }
 
-// ping tells a suspect of its suspicion, so that it refutes at once.
+// ping returns a ping to e. A ping to a suspect includes its record, so that it
+// can refute the suspicion immediately.
 func (n *Node) ping(e *entry, seq uint64) Envelope {
 	m := n.message(Ping)
 	m.Seq = seq
@@ -110,7 +113,8 @@
 	return n.envelope(e.Member, m)
 }
 
-// ack tells the sender what this instance holds against it, if anything.
+// ack returns the ack of a ping. If this instance has a record that supersedes the
+// sender's own, such as a suspicion, the ack includes it.
 func (n *Node) ack(ping Message) Envelope {
 	m := n.message(Ack)
 	m.Seq = ping.Seq
@@ -120,7 +124,7 @@
 	return n.envelope(ping.From, m)
 }
 
-// tickProbes asks third members, and ends probes that failed.
+// tickProbes asks relays for overdue probes and ends probes that timed out.
 func (n *Node) tickProbes(now time.Time) []Envelope {
 	var out []Envelope
 	for _, seq := range sortedKeys(n.probes) {
@@ -128,10 +132,10 @@
 		switch {
 		case !now.Before(p.endAt):
 			delete(n.probes, seq)
-			n.failed(now, p)
+			n.probeFailed(now, p)
 		case !p.indirectAt.IsZero() && !now.Before(p.indirectAt):
 			p.indirectAt = time.Time{}
-			out = append(out, n.askRelays(p, seq)...)
+			out = append(out, n.sendPingRequests(p, seq)...)
 		}
 	}
 	for seq, r := range n.relayed {
@@ -151,7 +155,7 @@
 	return keys
 }
 
-func (n *Node) askRelays(p *probe, seq uint64) []Envelope {
+func (n *Node) sendPingRequests(p *probe, seq uint64) []Envelope {
 	var out []Envelope
 	relays := n.pick(n.settings.Relays, func(m Member) bool {
 		return m.State != Suspect && m.ID != p.target.Instance
@@ -168,20 +172,20 @@
 	return out
 }
 
-// failed suspects the target of a probe that nobody answered.
-func (n *Node) failed(now time.Time, p *probe) {
+// probeFailed marks the target of an unanswered probe as suspect.
+func (n *Node) probeFailed(now time.Time, p *probe) {
 	e, ok := n.table[p.target.Instance]
 	if !ok || e.Incarnation != p.target.Incarnation || e.State >= Suspect {
 		return
 	}
 	n.health = min(n.health+1, maxHealth)
-	if n.health == maxHealth && now.Sub(n.lastContact) < aloneAfter*n.settings.suspicionTime(n.live) {
+	if n.health == maxHealth && now.Sub(n.lastContact) < isolationFactor*n.settings.suspicionTime(n.live) {
 		return
 	}
 	suspect := e.Member
 	suspect.State = Suspect
 	n.merge(now, suspect, true)
-	e.accused = true
+	e.ownSuspicion = true
 }
 
 func (n *Node) onAck(now time.Time, m Message) []Envelope {
@@ -192,12 +196,12 @@
 		reply.Target = r.target
 		return []Envelope{n.envelope(r.origin, reply)}
 	}
-	n.answered(now, m.Seq, m.From.ID)
+	n.probeAnswered(now, m.Seq, m.From.ID)
 	return nil
 }
 
-// answered ends a probe well.
-func (n *Node) answered(now time.Time, seq uint64, target fleet.InstanceID) {
+// probeAnswered completes a probe as successful.
+func (n *Node) probeAnswered(now time.Time, seq uint64, target fleet.InstanceID) {
 	n.lastContact = now
 	p, ok := n.probes[seq]
 	if !ok || p.target.Instance != target {
@@ -222,7 +226,8 @@
 	return []Envelope{n.ping(e, seq)}
 }
 
-// pick returns up to count random members, not dead, that pass a filter.
+// pick returns up to count random members that are not dead and for which ok
+// returns true.
 func (n *Node) pick(count int, ok func(Member) bool) []Member {
 	var picked []Member
 	for _, id := range n.shuffledMembers() {
@@ -236,7 +241,8 @@
 	return picked
 }
 
-// seedInterval is short while no member is known.
+// seedInterval returns the time between two pings of seeds, which is shorter while
+// the table has no other live member.
 func (n *Node) seedInterval() time.Duration {
 	if n.live == 1 {
 		return n.settings.Interval
@@ -244,8 +250,8 @@
 	return n.settings.SeedInterval
 }
 
-// pingSeeds pings listed instances that are no members: a few while none is
-// known, else one.
+// pingSeeds pings listed instances that are not live members: up to Relays of them
+// while the table has no other live member, otherwise one.
 func (n *Node) pingSeeds() []Envelope {
 	count := 1
 	if n.live == 1 {
--- a/membership/settings.go
+++ b/membership/settings.go
@@ -7,36 +7,37 @@
 	"github.com/pkg/errors"
 )
 
-// Settings tunes the protocol. The zero value of a field means its default.
+// Settings configures the protocol. A zero field selects its default.
 type Settings struct {
-	// Interval is the time between two probes of an instance. Default 500 ms.
+	// Interval is the time between two probes that an instance starts. Default 500 ms.
 	Interval time.Duration
-	// AckTimeout is how long a direct ping may take before third members are
-	// asked. Default 200 ms.
+	// AckTimeout is the time to wait for the ack of a direct ping before relays
+	// are asked. Default 200 ms.
 	AckTimeout time.Duration
-	// IndirectTimeout is how long the third members may take. Default 400 ms.
+	// IndirectTimeout is the time to wait for the relays. Default 400 ms.
 	IndirectTimeout time.Duration
-	// Relays is the number of third members asked. Default 3.
+	// Relays is the number of other members asked to ping a member that did
+	// not answer. Default 3.
 	Relays int
-	// SuspicionFactor times Interval times log10 of the fleet's size (at
-	// least 1.5) is the time in which a suspect may refute. Default 3.
+	// SuspicionFactor scales the suspicion time, in which a suspect may refute:
+	// SuspicionFactor * Interval * max(1.5, log10(fleet size)). Default 3.
 	SuspicionFactor float64
-	// SpreadFactor times log10 of the fleet's size (at least 1) is how often
-	// an instance passes on a changed record. Default 4.
+	// SpreadFactor scales the number of times an instance sends a changed
+	// record: SpreadFactor * max(1, log10(fleet size)). Default 4.
 	SpreadFactor float64
-	// SyncInterval is the time between two digest exchanges that an instance
-	// begins. Default 10 s.
+	// SyncInterval is the average time between two digest exchanges that an
+	// instance initiates. Default 10 s.
 	SyncInterval time.Duration
 	// SeedInterval is the time between two pings of listed instances that are
 	// not members. Default 2 s.
 	SeedInterval time.Duration
-	// TombstoneTTL is how long a dead member is remembered, so that late
-	// records do not bring it back. Default 10 min.
+	// TombstoneTTL is how long the record of a dead member is kept, so that
+	// late records do not restore it. Default 10 min.
 	TombstoneTTL time.Duration
-	// MaxUpdates bounds the records that ride on one message, in bytes.
+	// MaxUpdates limits the piggybacked records of one message, in bytes.
 	// Default 1000.
 	MaxUpdates int
-	// MaxSync bounds the records of one sync message, in bytes. Default 16 KiB.
+	// MaxSync limits the records of one sync message, in bytes. Default 16 KiB.
 	MaxSync int
 }
 
@@ -46,7 +47,7 @@
 	}
 }
 
-// withDefaults fills in the fields that are zero.
+// withDefaults returns s with zero fields set to their defaults.
 func (s Settings) withDefaults() Settings {
 	setDefault(&s.Interval, 500*time.Millisecond)
 	setDefault(&s.AckTimeout, 200*time.Millisecond)
@@ -78,16 +79,16 @@
 	return nil
 }
 
-func fleetFactor(members int, least float64) float64 {
-	return math.Max(least, math.Log10(float64(members)))
+func fleetFactor(members int, minFactor float64) float64 {
+	return math.Max(minFactor, math.Log10(float64(members)))
 }
 
-// suspicionTime is how long a suspect may take to refute.
+// suspicionTime returns the time that a suspect has to refute.
 func (s Settings) suspicionTime(members int) time.Duration {
 	return time.Duration(s.SuspicionFactor * fleetFactor(members, 1.5) * float64(s.Interval))
 }
 
-// spreadCount is how often a changed record is passed on.
+// spreadCount returns the number of times a changed record is sent.
 func (s Settings) spreadCount(members int) int {
 	return int(math.Ceil(s.SpreadFactor * fleetFactor(members, 1)))
 }
--- a/membership/spread.go
+++ b/membership/spread.go
@@ -7,15 +7,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// message begins a message with the records that are due to be passed on.
+// message returns a message of kind k that carries the records queued for gossip.
 func (n *Node) message(k Kind) Message {
 	m := Message{Kind: k, From: n.self}
-	if n.selfLeft > 0 {
-		n.selfLeft--
+	if n.selfSendsLeft > 0 {
+		n.selfSendsLeft--
 	}
 	m.Updates = n.takeUpdates(m.Updates)
-	if head := n.head(); head != nil {
-		m.Updates = append(m.Updates, head.Member)
+	if ahead := n.mostAdvanced(); ahead != nil {
+		m.Updates = append(m.Updates, ahead.Member)
 	}
 	return m
 }
@@ -24,61 +24,62 @@
 	return Envelope{To: to.ID, Addr: to.Addr, Message: m}
 }
 
-// enqueue marks a changed record to be passed on.
+// enqueue queues a changed record for gossip.
 func (n *Node) enqueue(e *entry) {
 	n.enqueueTimes(e, n.settings.spreadCount(n.live))
 }
 
 func (n *Node) enqueueTimes(e *entry, times int) {
-	if e.spread == 0 && !slices.Contains(n.spreading, e) {
-		n.spreading = append(n.spreading, e)
+	if e.sendsLeft == 0 && !slices.Contains(n.gossipQueue, e) {
+		n.gossipQueue = append(n.gossipQueue, e)
 	}
-	e.spread = times
+	e.sendsLeft = times
 }
 
-// takeUpdates appends the records that were passed on least, within the size
-// limit. A suspicion is passed on while it lasts: whoever knows that it was
-// refuted answers with the refutation.
+// takeUpdates appends the queued records with the most transmissions left, within
+// the size limit. A suspicion is sent for as long as it lasts, because a peer
+// that has the refutation replies with it.
 func (n *Node) takeUpdates(updates []Member) []Member {
-	slices.SortStableFunc(n.spreading, func(a, b *entry) int { return b.spread - a.spread })
+	slices.SortStableFunc(n.gossipQueue, func(a, b *entry) int { return b.sendsLeft - a.sendsLeft })
 	size := 0
-	for _, e := range n.spreading {
-		if e.spread == 0 {
+	for _, e := range n.gossipQueue {
+		if e.sendsLeft == 0 {
 			continue
 		}
 		size += e.size()
 		if size > n.settings.MaxUpdates {
 			break
 		}
-		if e.State != Suspect || e.spread > 1 {
-			e.spread--
+		if e.State != Suspect || e.sendsLeft > 1 {
+			e.sendsLeft--
 		}
 		updates = append(updates, e.Member)
 	}
-	n.spreading = slices.DeleteFunc(n.spreading, func(e *entry) bool { return e.spread == 0 })
+	n.gossipQueue = slices.DeleteFunc(n.gossipQueue, func(e *entry) bool { return e.sendsLeft == 0 })
 	return updates
 }
 
-// head returns the member with the highest configuration offset if it is
-// ahead of this instance: news of a new configuration so reaches everyone in
-// a few rounds, without a record of each member that has applied it.
-func (n *Node) head() *entry {
+// mostAdvanced returns the alive member with the highest configuration offset, or
+// nil if none is ahead of this instance. A new offset thus reaches the fleet in
+// a few rounds without gossiping the record of every member that applied it.
+func (n *Node) mostAdvanced() *entry {
 	if n.maxOffset <= n.self.Offset {
 		return nil
 	}
-	var head *entry
+	var best *entry
 	for _, e := range n.table {
 		if e.State != Alive || e.Offset <= n.self.Offset {
 			continue
 		}
-		if head == nil || e.Offset > head.Offset || e.Offset == head.Offset && e.ID < head.ID {
-			head = e
+		if best == nil || e.Offset > best.Offset || e.Offset == best.Offset && e.ID < best.ID {
+			best = e
 		}
 	}
-	return head
+	return best
 }
 
-// digest sums the records of each bucket, the own one included, dead ones not.
+// digest returns a checksum of the records in each bucket, including this
+// instance's own record and excluding dead members.
 func (n *Node) digest() []uint64 {
 	sums := make([]uint64, buckets)
 	sums[bucket(n.self)] ^= sum(n.self)
@@ -100,7 +101,7 @@
 	return (h ^ h>>29 ^ m.Version) * 0xbf58476d1ce4e5b9
 }
 
-// startSync compares digests with a random member.
+// startSync starts a digest exchange with a random member.
 func (n *Node) startSync(now time.Time) []Envelope {
 	jitter := time.Duration(n.rand.Int64N(int64(n.settings.SyncInterval/2) + 1))
 	peers := n.pick(1, func(m Member) bool { return m.State != Suspect })
@@ -124,8 +125,8 @@
 	return n.envelope(request.From, m)
 }
 
-// onSyncReply sends back what the replier lacks, and asks on if its reply was
-// cut.
+// onSyncReply sends back the records that the replier lacks. If the reply was
+// truncated, it requests another one instead.
 func (n *Node) onSyncReply(reply Message) []Envelope {
 	if reply.More {
 		return []Envelope{n.syncRequest(reply.From)}
@@ -138,8 +139,8 @@
 	return []Envelope{n.envelope(reply.From, m)}
 }
 
-// differing returns the records, dead ones included, of the buckets in which
-// two digests differ, and whether the size limit cut them short.
+// differing returns the records, including dead members, of the buckets whose
+// digests differ, and whether the size limit truncated them.
 func (n *Node) differing(mine, theirs []uint64) (records []Member, more bool) {
 	size := 0
 	for _, e := range n.sortedEntries() {
@@ -156,8 +157,8 @@
 	return records, false
 }
 
-// sortedEntries returns the table by bucket, from a random bucket on, so that
-// replies that are cut differ from each other.
+// sortedEntries returns the table ordered by bucket, starting at a random bucket,
+// so that successive truncated replies carry different records.
 func (n *Node) sortedEntries() []*entry {
 	start := n.rand.IntN(buckets)
 	entries := make([]*entry, 0, len(n.table))
