--- a/allowance/allowance_test.go
+++ b/allowance/allowance_test.go
@@ -65,7 +65,7 @@
 
 func limitSource(rate, burst float64) ratelimit.Source {
 	return func(c fleet.CustomerID) (ratelimit.Limits, bool) {
-		return ratelimit.Limits{{ID: ratelimit.Whole, Rate: rate, Burst: burst}}, c != "unknown"
+		return ratelimit.Limits{{ID: ratelimit.CustomerWide, Rate: rate, Burst: burst}}, c != "unknown"
 	}
 }
 
@@ -73,7 +73,7 @@
 // admitted.
 func (in *testInstance) takeAll(c fleet.CustomerID) int {
 	for n := 0; ; n++ {
-		d := in.client.Table().Take(time.Now(), c, ratelimit.Whole)
+		d := in.client.Table().Take(time.Now(), c, ratelimit.CustomerWide)
 		if !d.OK {
 			return n
 		}
@@ -130,7 +130,7 @@
 func TestChargesArePaid(t *testing.T) {
 	in := startFleet(t, 2, limitSource(0.001, 10))
 	table := in[1].client.Table()
-	table.Take(time.Now(), "c", ratelimit.Whole).Done(time.Now())
+	table.Take(time.Now(), "c", ratelimit.CustomerWide).Done(time.Now())
 	due := table.Due(time.Now().Add(time.Minute))
 	assert.Equal(t, len(due.Charges), 1)
 	in[1].client.call(t.Context(), "i0", due)
--- a/allowance/bench_test.go
+++ b/allowance/bench_test.go
@@ -17,7 +17,7 @@
 func BenchmarkTwoUsers(b *testing.B) {
 	const n, rate, seconds = 44, 200.0, 5
 	routes := []ratelimit.LimitID{ratelimit.RouteID("x"), ratelimit.RouteID("y"), ratelimit.RouteID("z")}
-	limits := ratelimit.Limits{{ID: ratelimit.Whole, Rate: rate, Burst: rate}}
+	limits := ratelimit.Limits{{ID: ratelimit.CustomerWide, Rate: rate, Burst: rate}}
 	for i, id := range routes {
 		part := rate * []float64{0.6, 0.25, 0.15}[i]
 		limits = append(limits, ratelimit.Limit{ID: id, Rate: part, Burst: part, Concurrency: 40})
--- a/allowance/server.go
+++ b/allowance/server.go
@@ -79,7 +79,7 @@
 			continue
 		}
 		s.withGranter(ds[i].Customer, func(g *ratelimit.Granter) {
-			grants = append(grants, g.Fold(now, limits, view, ds[i]))
+			grants = append(grants, g.Grant(now, limits, view, ds[i]))
 		})
 	}
 	return grants
--- a/proxy/admit.go
+++ b/proxy/admit.go
@@ -24,7 +24,7 @@
 	}
 	h.decided(x, "limited", string(d.Refusal))
 	scope := "the route"
-	if d.RefusedBy == ratelimit.Whole {
+	if d.RefusedBy == ratelimit.CustomerWide {
 		scope = "all routes together"
 	}
 	why := fmt.Sprintf("the contract's limit is reached: %s of %s", d.Refusal, scope)
--- a/ratelimit/account.go
+++ b/ratelimit/account.go
@@ -10,61 +10,63 @@
 )
 
 const (
-	// horizon is for how long of its demand an account holds tokens.
+	// horizon is the period of expected demand for which an account holds tokens.
 	horizon = 600 * time.Millisecond
-	// spread is how many standard deviations of a random flow over the
-	// horizon an account holds on top.
+	// spread is the number of standard deviations of random arrivals over the
+	// horizon that an account holds in addition.
 	spread = 1.5
 	// smoothing is the time constant of the offered rate's average.
 	smoothing = 3 * time.Second
-	// askEvery is the least time between demands on a tick.
-	askEvery = 400 * time.Millisecond
-	// askUrgently is the least time between demands of an account that is
-	// about to refuse requests.
-	askUrgently = 20 * time.Millisecond
-	// maxPause bounds the time between demands that the limiter has nothing for.
+	// demandInterval is the minimum time between demands on a tick.
+	demandInterval = 400 * time.Millisecond
+	// urgentDemandInterval is the minimum time between demands of an account that
+	// is about to refuse requests.
+	urgentDemandInterval = 20 * time.Millisecond
+	// maxPause bounds the time between demands for which the limiter has no tokens.
 	maxPause = 5 * time.Second
-	// askLazily is the time after which even a small want is told.
-	askLazily = time.Second
-	// chargeEvery is the period in which a rarely used account makes at most
-	// one charge, minDebt what is worth one.
-	chargeEvery = 15 * time.Second
-	minDebt     = 0.01
-	// answerWithin is when an unanswered demand is given up.
-	answerWithin = 500 * time.Millisecond
-	// cutOffAfter is how long a demand is unanswered before the account earns
+	// smallDemandInterval is the time after which even a small want is sent.
+	smallDemandInterval = time.Second
+	// chargeInterval is the period in which a rarely used account makes at most
+	// one charge; minDebt is the smallest debt, in tokens, that is charged.
+	chargeInterval = 15 * time.Second
+	minDebt        = 0.01
+	// grantTimeout is how long an account waits for the grant before it sends a
+	// new demand.
+	grantTimeout = 500 * time.Millisecond
+	// cutOffAfter is how long a demand is unanswered before the account accrues
 	// its own entitlement.
 	cutOffAfter = 200 * time.Millisecond
-	// keepAlive is how often an account in use speaks to its limiter.
-	keepAlive = Lifetime / 3
-	// idleAfter is when an unused account ends.
-	idleAfter = 10 * time.Second
-	// minRetryAfter and maxRetryAfter bound what refused callers are told.
+	// keepAliveInterval is how often an account in use contacts its limiter.
+	keepAliveInterval = Lifetime / 3
+	// idleTimeout is the time without requests after which an account may be removed.
+	idleTimeout = 10 * time.Second
+	// minRetryAfter and maxRetryAfter bound the Retry-After of refused requests.
 	minRetryAfter = 20 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 )
 
-// Refusal tells what of a limit a refused request lacked.
+// Refusal is the part of a limit that a refused request exceeded.
 type Refusal string
 
 const (
-	// NoToken: the rate and its burst are used up.
+	// NoToken means that the rate and its burst are used up.
 	NoToken Refusal = "rate"
-	// NoSlot: as many requests are in flight as the account may have.
+	// NoSlot means that the account's concurrency is used up.
 	NoSlot Refusal = "concurrency"
 )
 
-// Decision is what the limits say to one request.
+// Decision is the result of applying the limits to one request.
 type Decision struct {
-	// OK tells whether the request may go on; Done must be called then.
+	// OK reports whether the request is admitted; Done must be called then.
 	OK bool
-	// Refusal and RefusedBy tell why a request was refused, and by which limit.
+	// Refusal and RefusedBy give the reason for a refusal and the limit.
 	Refusal   Refusal
 	RefusedBy LimitID
 	// RetryAfter is how long a refused caller should wait.
 	RetryAfter time.Duration
 	// Limit, Remaining and Reset describe the tighter of the limits that
-	// were asked, for the headers. Reset is when Remaining is whole again.
+	// were checked, for the headers. Reset is the time until the burst is
+	// fully available again.
 	Limit     Limit
 	Remaining float64
 	Reset     time.Duration
@@ -73,7 +75,7 @@
 	route   LimitID
 }
 
-// Done ends a request that was let through. It must be called once.
+// Done ends an admitted request. It must be called exactly once.
 func (d Decision) Done(now time.Time) {
 	if d.account != nil {
 		d.account.done(now, d.route)
@@ -90,17 +92,17 @@
 	listed   int
 	lines    []line
 
-	used     time.Time
-	seq      uint64
-	applied  uint64
-	asked    time.Time
-	heard    time.Time
-	waiting  bool
-	waitedAt time.Time
-	urgent   bool
-	// charge is the Seq of the charge that is under way, 0 if none is.
+	used         time.Time
+	seq          uint64
+	applied      uint64
+	lastDemandAt time.Time
+	lastGrantAt  time.Time
+	waiting      bool
+	waitingSince time.Time
+	urgent       bool
+	// charge is the Seq of the pending charge, 0 if there is none.
 	charge uint64
-	// pause is the least time to the next demand if the last grant left the
+	// pause is the minimum time to the next demand if the last grant left the
 	// account low, 0 otherwise.
 	pause time.Duration
 }
@@ -108,48 +110,48 @@
 // line is the account's part of one limit.
 type line struct {
 	Limit
-	balance  float64
-	level    float64
-	at       time.Time
-	slots    int
-	granted  bool
-	share    float64
-	inFlight int
-	// charged is the part of the debt in the charge under way.
+	balance   float64
+	level     float64
+	settledAt time.Time
+	slots     int
+	granted   bool
+	share     float64
+	inFlight  int
+	// charged is the part of the debt in the pending charge.
 	charged float64
 
-	// rate averages the offered requests a second; offered and entered count
-	// requests and busy adds up request-seconds since the last demand.
-	rate    float64
-	offered float64
-	entered float64
-	busy    float64
-	busyAt  time.Time
-	told    time.Time
+	// rate is the moving average of offered requests per second. Since the last
+	// demand, offered and entered count requests, and busy sums request-seconds.
+	rate       float64
+	offered    float64
+	entered    float64
+	busy       float64
+	busyAt     time.Time
+	reportedAt time.Time
 }
 
-// newAccount returns an empty account. The counter numbers the demands of all
-// accounts of the process, so that one that is made anew goes on upwards.
+// newAccount returns an empty account. All accounts of the process number their
+// demands from one counter, so that a recreated account continues upwards.
 func newAccount(now time.Time, t *Table, c fleet.CustomerID, ls Limits) *Account {
 	a := &Account{
-		seqs:     &t.seqs,
-		customer: c,
-		holder:   t.holder,
-		listed:   int(t.listed.Load()),
-		used:     now,
-		asked:    now,
-		applied:  t.seqs.Load(),
+		seqs:         &t.seqs,
+		customer:     c,
+		holder:       t.holder,
+		listed:       int(t.listed.Load()),
+		used:         now,
+		lastDemandAt: now,
+		applied:      t.seqs.Load(),
 	}
 	a.setLimits(now, ls)
 	return a
 }
 
-// setLimits puts a contract's limits in force. Lines of limits that stay keep
-// their balance; routes that are gone are kept while requests run.
+// setLimits applies a contract's limits. Lines of limits that remain keep
+// their state; lines of removed limits are dropped.
 func (a *Account) setLimits(now time.Time, ls Limits) {
 	lines := make([]line, 0, len(ls))
 	for _, l := range ls {
-		ln := line{at: now, busyAt: now, told: now}
+		ln := line{settledAt: now, busyAt: now, reportedAt: now}
 		if i := a.index(l.ID); i >= 0 {
 			ln = a.lines[i]
 		}
@@ -169,30 +171,30 @@
 	return -1
 }
 
-// take decides on one request and tells whether the account turned urgent.
+// take decides on one request and reports whether the account became urgent.
 func (a *Account) take(now time.Time, id LimitID) (d Decision, wake bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.used = now
 	a.settle(now)
 	route := max(0, a.index(id))
-	whole, part := &a.lines[0], &a.lines[route]
-	whole.offered++
+	customerLine, routeLine := &a.lines[0], &a.lines[route]
+	customerLine.offered++
 	if route != 0 {
-		part.offered++
+		routeLine.offered++
 	}
-	refusedBy, refusal := whole, a.refusal(whole)
+	refusedBy, refusal := customerLine, a.refusal(customerLine)
 	if refusal == "" {
-		refusedBy, refusal = part, a.refusal(part)
+		refusedBy, refusal = routeLine, a.refusal(routeLine)
 	}
 	ok := refusal == ""
 	if ok {
-		whole.enter(now)
+		customerLine.enter(now)
 		if route != 0 {
-			part.enter(now)
+			routeLine.enter(now)
 		}
 	}
-	wake = a.turnUrgent(whole, part)
+	wake = a.markUrgent(customerLine, routeLine)
 	d = a.decision(ok, route)
 	if !ok {
 		d.Refusal, d.RefusedBy = refusal, refusedBy.ID
@@ -200,10 +202,10 @@
 	return d, wake
 }
 
-// refusal tells what the line lacks for one more request; empty if nothing.
+// refusal returns what the line lacks for one more request, or "" if nothing.
 func (a *Account) refusal(l *line) Refusal {
 	switch {
-	case l.balance-1 < -l.own(a.listed):
+	case l.balance-1 < -l.overdraft(a.listed):
 		return NoToken
 	case a.full(l):
 		return NoSlot
@@ -225,45 +227,45 @@
 	l.entered++
 }
 
-// turnUrgent reports, once a demand, that a line is near its end.
-func (a *Account) turnUrgent(whole, part *line) bool {
+// markUrgent reports, once per demand, that a line is nearly used up.
+func (a *Account) markUrgent(customerLine, routeLine *line) bool {
 	if a.urgent {
 		return false
 	}
-	a.urgent = a.low(whole) || a.low(part)
+	a.urgent = a.low(customerLine) || a.low(routeLine)
 	return a.urgent
 }
 
-// low tells whether the line would refuse a request soon.
+// low reports whether the line would refuse a request soon.
 func (a *Account) low(l *line) bool {
 	return a.full(l) || a.dry(l)
 }
 
-// full tells whether the line has no free slot.
+// full reports whether the line has no free slot.
 func (a *Account) full(l *line) bool {
 	return l.Concurrency > 0 && l.inFlight >= a.slots(l)
 }
 
-// dry tells whether the line has few tokens left.
+// dry reports whether the line has few tokens left.
 func (a *Account) dry(l *line) bool {
-	own := l.own(a.listed)
-	left := l.balance + own
-	return left < 1 || left < math.Max(l.expected()/4, own/2)
+	overdraft := l.overdraft(a.listed)
+	left := l.balance + overdraft
+	return left < 1 || left < math.Max(l.expected()/4, overdraft/2)
 }
 
-// expected is how many tokens the line should have at hand.
+// expected returns the number of tokens that the line should have available.
 func (l *line) expected() float64 {
 	mean := l.rate * horizon.Seconds()
 	return mean + spread*math.Sqrt(mean)
 }
 
-// target is the balance that the line should hold: what is expected beyond
-// its overdraft.
+// target returns the balance that the line should hold: the expected use in
+// excess of its overdraft.
 func (a *Account) target(l *line) float64 {
-	return math.Max(0, l.expected()-l.own(a.listed))
+	return math.Max(0, l.expected()-l.overdraft(a.listed))
 }
 
-// done ends a request of the given line and of the whole.
+// done ends a request on the given route's line and on the customer's line.
 func (a *Account) done(now time.Time, route LimitID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -278,7 +280,7 @@
 	l.inFlight--
 }
 
-// busyUntil adds up the time that requests were in flight.
+// busyUntil adds the request-seconds in flight up to now.
 func (l *line) busyUntil(now time.Time) {
 	if dt := now.Sub(l.busyAt); dt > 0 {
 		l.busy += float64(l.inFlight) * dt.Seconds()
@@ -286,11 +288,11 @@
 	}
 }
 
-// settle drops what was granted once its lifetime ended, and lets an account
-// whose demands stay unanswered earn its own entitlement.
+// settle drops granted tokens when their lifetime has ended, and lets an account
+// whose demands stay unanswered accrue its own entitlement.
 func (a *Account) settle(now time.Time) {
-	expired := now.Sub(a.heard) > Lifetime
-	cutOff := a.waiting && now.Sub(a.waitedAt) > cutOffAfter
+	expired := now.Sub(a.lastGrantAt) > Lifetime
+	cutOff := a.waiting && now.Sub(a.waitingSince) > cutOffAfter
 	if !expired && !cutOff {
 		return
 	}
@@ -302,19 +304,19 @@
 			l.balance = math.Min(l.balance, 0)
 		}
 		if cutOff {
-			l.earn(now, a.waitedAt, a.listed)
+			l.earn(now, a.waitingSince, a.listed)
 		}
-		l.at = now
+		l.settledAt = now
 	}
 }
 
-// earn adds the line's entitlement since it last earned, though not from
-// before the wait began, and not beyond paying its debt.
+// earn adds the entitlement accrued since the line's last update, counted from
+// the start of the wait at the earliest and only up to paying its debt.
 func (l *line) earn(now, waitedAt time.Time, listed int) {
 	if l.balance >= 0 {
 		return
 	}
-	since := l.at
+	since := l.settledAt
 	if waitedAt.After(since) {
 		since = waitedAt
 	}
@@ -340,17 +342,17 @@
 }
 
 func (a *Account) remaining(l *line) float64 {
-	left := l.balance + l.own(a.listed) + l.level
+	left := l.balance + l.overdraft(a.listed) + l.level
 	return math.Max(0, math.Min(l.Burst, left))
 }
 
-// retryAfter is when the refusing lines should have a token for everyone who
-// was refused since the last demand, one after the other.
+// retryAfter estimates when the refusing lines will have a token for each
+// request of the backlog since the last demand, served in sequence.
 func (a *Account) retryAfter(route int) time.Duration {
 	wait := minRetryAfter
 	for _, i := range [2]int{0, route} {
 		l := &a.lines[i]
-		short := 1 - (l.balance + l.own(a.listed))
+		short := 1 - (l.balance + l.overdraft(a.listed))
 		if short <= 0 {
 			continue
 		}
@@ -360,8 +362,8 @@
 	return min(wait, maxRetryAfter)
 }
 
-// shareOf is the factor by which this account's part of the rate is smaller
-// than the whole: 1 while it hears from the limiter.
+// shareOf returns the factor by which this account's part of the rate is smaller
+// than the full rate: 1 while it has a grant, n without one.
 func (a *Account) shareOf(l *line) float64 {
 	if l.granted {
 		return 1
--- a/ratelimit/bench_test.go
+++ b/ratelimit/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// BenchmarkFleet reports what a customer's use of its contract costs and
-// gets: 44 instances, one with 30 % of the traffic, one limit on the whole and
+// BenchmarkFleet reports the cost and the usable part of a customer's contract:
+// 44 instances, one with 30 % of the traffic, one customer-wide limit and
 // one on the route.
 func BenchmarkFleet(b *testing.B) {
 	for _, rate := range []float64{20, 200, 2000} {
@@ -36,9 +36,9 @@
 	}
 }
 
-// BenchmarkSmallCustomer is one of 28,000 customers at 76,000 requests a second
-// before 920 instances, at a quarter of its contract and far above it. Two
-// limits stand in each demand.
+// BenchmarkSmallCustomer is one of 28,000 customers at 76,000 requests per second
+// over 920 instances, at a quarter of its contract and far above it. Each demand
+// contains two limits.
 func BenchmarkSmallCustomer(b *testing.B) {
 	const n, rate = 920, 10.8
 	even := make([]float64, n)
@@ -63,8 +63,8 @@
 	}
 }
 
-// BenchmarkHourInHalves reports the overshoot of an hour's partition at double
-// the rate.
+// BenchmarkHourInHalves reports the overshoot during a one-hour partition into
+// halves at double the rate.
 func BenchmarkHourInHalves(b *testing.B) {
 	const n, rate = 44, 200
 	for b.Loop() {
@@ -84,7 +84,7 @@
 }
 
 func twoLimits(rate float64) Limits {
-	return append(wholeLimit(rate), Limit{ID: RouteID("r"), Rate: rate, Burst: rate})
+	return append(customerLimit(rate), Limit{ID: RouteID("r"), Rate: rate, Burst: rate})
 }
 
 func benchTable(customers int) (*Table, []fleet.CustomerID) {
@@ -115,7 +115,7 @@
 	}
 }
 
-// BenchmarkDue is one look for what is due over idle accounts.
+// BenchmarkDue measures one scan for due demands over idle accounts.
 func BenchmarkDue(b *testing.B) {
 	for _, customers := range []int{100, 1000, 28000} {
 		b.Run(fmt.Sprint(customers), func(b *testing.B) {
@@ -146,7 +146,7 @@
 			}
 			for i := range granters {
 				granters[i] = NewGranter()
-				granters[i].Fold(testEpoch, limits, view, demand)
+				granters[i].Grant(testEpoch, limits, view, demand)
 			}
 			size := float64(heap()-before) / float64(customers)
 			now, i := testEpoch, 0
@@ -155,7 +155,7 @@
 				now = now.Add(time.Microsecond)
 				demand.Seq++
 				demand.Applied = demand.Seq - 1
-				granters[i%customers].Fold(now, limits, view, demand)
+				granters[i%customers].Grant(now, limits, view, demand)
 				i += 7919
 			}
 			b.ReportMetric(size, "B/customer")
@@ -170,13 +170,13 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkStaticShares is what a customer gets if each instance lives on an
+// BenchmarkStaticShares reports what a customer gets if each instance uses an
 // equal share of the limit, as it does when all are cut off.
 func BenchmarkStaticShares(b *testing.B) {
 	for _, rate := range []float64{20, 200, 2000} {
 		b.Run(fmt.Sprintf("rate=%v", rate), func(b *testing.B) {
 			for b.Loop() {
-				f := newTestFleet(1, 44, wholeLimit(rate), uneven(44))
+				f := newTestFleet(1, 44, customerLimit(rate), uneven(44))
 				f.lost = func(int, int) bool { return true }
 				f.run(20*time.Second, rate)
 				f.reset()
--- a/ratelimit/charge.go
+++ b/ratelimit/charge.go
@@ -9,9 +9,9 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// Partitions is the number of groups into which customers fall. All customers
-// of a partition have the same limiter; the number must be the same at all
-// instances.
+// Partitions is the number of groups into which customers are hashed. All
+// customers of a partition have the same limiter; the number must be the same
+// at all instances.
 const Partitions = 256
 
 // PartitionOf returns a customer's partition, from 0 to Partitions-1.
@@ -19,29 +19,30 @@
 	return xxhash.Sum64String(string(c)) % Partitions
 }
 
-// rare tells whether an eighth of the account's overdrafts is ample for its use, so that
-// it needs to hold no tokens.
-func (a *Account) rare() bool {
+// rarelyUsed reports whether an eighth of each overdraft covers the expected
+// use, so that the account needs to hold no tokens.
+func (a *Account) rarelyUsed() bool {
 	for i := range a.lines {
-		if a.lines[i].expected() > a.lines[i].own(a.listed)/8 {
+		if a.lines[i].expected() > a.lines[i].overdraft(a.listed)/8 {
 			return false
 		}
 	}
 	return true
 }
 
-// chargeable tells whether a charge should be made now.
+// chargeable reports whether a charge should be made now.
 func (a *Account) chargeable(now time.Time) bool {
-	return !a.waiting && a.turn(now) != a.turn(a.asked) && a.rare() && a.inDebt()
+	return !a.waiting && a.chargePeriod(now) != a.chargePeriod(a.lastDemandAt) && a.rarelyUsed() && a.inDebt()
 }
 
-// turn numbers the periods in which an account may make one charge. They begin
-// at the same moments for all customers of a partition at an instance, so that
-// their charges go in one call, and at others for other instances.
-func (a *Account) turn(now time.Time) int64 {
-	phase := PartitionOf(a.customer)*uint64(chargeEvery)/Partitions +
-		xxhash.Sum64String(string(a.holder.Instance))%uint64(chargeEvery)
-	return (now.UnixNano() + int64(phase)) / int64(chargeEvery)
+// chargePeriod returns the number of the period in which an account may make
+// one charge. Periods start together for all customers of a partition at an
+// instance, so that their charges go in one call, and at a different time at
+// other instances.
+func (a *Account) chargePeriod(now time.Time) int64 {
+	phase := PartitionOf(a.customer)*uint64(chargeInterval)/Partitions +
+		xxhash.Sum64String(string(a.holder.Instance))%uint64(chargeInterval)
+	return (now.UnixNano() + int64(phase)) / int64(chargeInterval)
 }
 
 func (a *Account) inDebt() bool {
@@ -53,16 +54,16 @@
 	return false
 }
 
-// makeCharge returns a charge of the account's debts.
+// makeCharge returns a charge for the account's debts.
 func (a *Account) makeCharge(now time.Time) Charge {
 	a.settle(now)
-	a.asked = now
+	a.lastDemandAt = now
 	a.charge = a.seqs.Add(1)
 	c := Charge{Customer: a.customer, Seq: a.charge}
 	for i := range a.lines {
 		l := &a.lines[i]
-		l.average(now.Sub(l.told).Seconds())
-		l.told = now
+		l.average(now.Sub(l.reportedAt).Seconds())
+		l.reportedAt = now
 		l.charged = math.Max(0, -l.balance)
 		if l.charged > 0 {
 			c.Limits = append(c.Limits, LimitCharge{ID: l.ID, Tokens: l.charged})
@@ -71,7 +72,7 @@
 	return c
 }
 
-// settleCharge ends a charge; its debts are gone if it was paid.
+// settleCharge completes a charge and, if it was paid, clears the charged debts.
 func (a *Account) settleCharge(seq uint64, paid bool) {
 	if seq != a.charge {
 		return
@@ -86,8 +87,8 @@
 	}
 }
 
-// Charge pays debts of an account under the limits in force and tells whether
-// all could be paid; otherwise none was.
+// Charge takes the charged tokens from the buckets of the limits in force. It
+// reports false, and takes none, if any bucket is too low.
 func (g *Granter) Charge(now time.Time, limits Limits, view View, c Charge) bool {
 	g.used = now
 	for _, lc := range c.Limits {
--- a/ratelimit/demand.go
+++ b/ratelimit/demand.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// due tells whether the account should send a demand now.
+// due reports whether the account should send a demand now.
 func (a *Account) due(now time.Time) bool {
-	since := now.Sub(a.asked)
-	if a.waiting && since < answerWithin {
+	since := now.Sub(a.lastDemandAt)
+	if a.waiting && since < grantTimeout {
 		return false
 	}
-	if a.pause > askEvery && !a.used.After(a.asked) {
+	if a.pause > demandInterval && !a.used.After(a.lastDemandAt) {
 		return since >= maxPause
 	}
 	if a.urgent {
-		return since >= max(askUrgently, a.pause)
+		return since >= max(urgentDemandInterval, a.pause)
 	}
-	if a.rare() {
+	if a.rarelyUsed() {
 		return false
 	}
 	if a.wants(0.25) {
-		return since >= max(askEvery, a.pause)
+		return since >= max(demandInterval, a.pause)
 	}
-	if now.Sub(a.used) < keepAlive && since >= keepAlive {
+	if now.Sub(a.used) < keepAliveInterval && since >= keepAliveInterval {
 		return true
 	}
-	return a.wants(0) && since >= askLazily
+	return a.wants(0) && since >= smallDemandInterval
 }
 
-// wants tells whether a line lacks more than the given part of its target.
+// wants reports whether a line lacks more than the given part of its target.
 func (a *Account) wants(part float64) bool {
 	for i := range a.lines {
 		l := &a.lines[i]
@@ -44,9 +44,9 @@
 	return false
 }
 
-// idle tells whether the account can be forgotten.
+// idle reports whether the account can be removed.
 func (a *Account) idle(now time.Time) bool {
-	if now.Sub(a.used) < idleAfter {
+	if now.Sub(a.used) < idleTimeout {
 		return false
 	}
 	for i := range a.lines {
@@ -57,40 +57,40 @@
 	return true
 }
 
-// demand makes the account's next demand.
+// demand returns the account's next demand.
 func (a *Account) demand(now time.Time) Demand {
 	a.settle(now)
 	if !a.waiting {
-		a.waitedAt = now
+		a.waitingSince = now
 	}
 	a.seq = a.seqs.Add(1)
-	a.asked, a.waiting, a.urgent = now, true, false
+	a.lastDemandAt, a.waiting, a.urgent = now, true, false
 	d := Demand{Customer: a.customer, Holder: a.holder, Seq: a.seq, Applied: a.applied}
 	d.Limits = make([]LimitDemand, 0, len(a.lines))
 	for i := range a.lines {
 		l := &a.lines[i]
-		if a.tells(now, l) {
+		if a.needsReport(now, l) {
 			d.Limits = append(d.Limits, a.demandLine(now, l))
 		}
 	}
 	return d
 }
 
-// tells tells whether a demand should mention the line: since it lacks tokens
-// or slots, or since it is used and was not mentioned for long.
-func (a *Account) tells(now time.Time, l *line) bool {
+// needsReport reports whether a demand should include the line: it lacks tokens
+// or slots, or it is in use and was last included keepAliveInterval ago or more.
+func (a *Account) needsReport(now time.Time, l *line) bool {
 	lack := a.target(l) - l.balance
 	if lack >= 1 || a.dry(l) || a.full(l) {
 		return true
 	}
 	used := l.offered > 0 || l.inFlight > 0 || l.rate >= 0.01
-	return used && now.Sub(l.told) >= keepAlive
+	return used && now.Sub(l.reportedAt) >= keepAliveInterval
 }
 
 func (a *Account) demandLine(now time.Time, l *line) LimitDemand {
-	interval := now.Sub(l.told).Seconds()
-	l.told = now
-	want := math.Max(a.target(l), math.Min(l.offered-l.own(a.listed), l.Burst)) - l.balance
+	interval := now.Sub(l.reportedAt).Seconds()
+	l.reportedAt = now
+	want := math.Max(a.target(l), math.Min(l.offered-l.overdraft(a.listed), l.Burst)) - l.balance
 	d := LimitDemand{ID: l.ID, Balance: l.balance, Want: math.Max(0, want), InFlight: l.inFlight}
 	if l.granted {
 		d.Slots = l.slots
@@ -105,8 +105,8 @@
 	return d
 }
 
-// average folds the requests offered since the last demand into the rate and
-// begins the next count.
+// average updates the average rate with the requests offered since the last
+// demand and resets the counters.
 func (l *line) average(interval float64) {
 	if interval > 0 {
 		keep := math.Exp(-interval / smoothing.Seconds())
@@ -122,17 +122,17 @@
 	return l.busy / interval
 }
 
-// Slots wanted beyond the mean in flight: standard deviations of a Poisson
-// arrival, and a part for accounts with hardly any traffic. With 2 deviations
-// more than one request in a hundred was refused at a tenth of the limit; with
-// a larger part, the wants of 44 little used accounts crowd out a busy one.
+// Slots wanted beyond the mean in flight: standard deviations of Poisson
+// arrivals, and a constant part for accounts with little traffic. With 2
+// deviations more than 1 % of requests were refused at a tenth of the limit;
+// with a larger constant, the wants of 44 rarely used accounts displace a busy one.
 const (
 	slotSpread = 3
 	spareSlots = 0.5
 )
 
-// wantSlots is the concurrency that would refuse few of the requests that
-// were offered, given the mean number in flight of those that entered.
+// wantSlots returns the concurrency that would refuse few of the offered
+// requests, given the mean number in flight of those that were admitted.
 func (l *line) wantSlots(busy float64) int {
 	mean := busy
 	if l.entered > 0 {
@@ -141,17 +141,18 @@
 	return max(l.inFlight+1, int(math.Ceil(mean+slotSpread*math.Sqrt(mean)+spareSlots)))
 }
 
-// apply books a grant; late and repeated ones have no effect.
+// apply records a grant and reports whether it took effect; late and repeated
+// grants have none.
 func (a *Account) apply(now time.Time, g Grant) bool {
 	if !a.waiting || g.Seq != a.seq || g.Stale {
 		return false
 	}
 	a.waiting = false
-	if now.Sub(a.asked) > g.Lifetime {
+	if now.Sub(a.lastDemandAt) > g.Lifetime {
 		return false
 	}
 	a.applied = g.Seq
-	a.heard = a.asked
+	a.lastGrantAt = a.lastDemandAt
 	dry, full, tokens := false, false, 0.0
 	for i := range g.Limits {
 		lg := &g.Limits[i]
@@ -162,21 +163,21 @@
 		l := &a.lines[j]
 		l.balance += math.Max(0, lg.Tokens)
 		l.slots, l.granted, l.level, l.share = lg.Slots, true, lg.Level, lg.Share
-		l.at = now
+		l.settledAt = now
 		dry, full, tokens = dry || a.dry(l), full || a.full(l), tokens+lg.Tokens
 	}
 	a.pause = a.nextPause(dry, full, tokens)
 	return true
 }
 
-// nextPause grows while grants bring not even one token to an account that is
-// dry.
+// nextPause doubles the pause, up to maxPause, while grants bring less than one
+// token to an account that is low on tokens.
 func (a *Account) nextPause(dry, full bool, tokens float64) time.Duration {
 	switch {
 	case !dry && !full:
 		return 0
 	case !dry || tokens >= 1:
-		return askEvery
+		return demandInterval
 	}
-	return min(maxPause, max(askEvery, 2*a.pause))
+	return min(maxPause, max(demandInterval, 2*a.pause))
 }
--- a/ratelimit/fleet_test.go
+++ b/ratelimit/fleet_test.go
@@ -18,7 +18,7 @@
 var testEpoch = time.Unix(1_700_000_000, 0)
 
 // testFleet runs real tables and granters under a fake clock; messages take
-// testDelay each way unless the test cuts them off.
+// testDelay each way unless the test drops them.
 type testFleet struct {
 	now      time.Time
 	rng      *rand.Rand
@@ -26,8 +26,8 @@
 	tables   []*Table
 	granters []*Granter
 	weights  []float64
-	// role names the limiter as an instance sees it, view what a limiter
-	// knows of the fleet, lost whether a message between two is lost.
+	// role returns the limiter as seen by an instance, view a limiter's view of
+	// the fleet, and lost whether a message between two instances is lost.
 	role func(i int) int
 	view func(i int) View
 	lost func(from, to int) bool
@@ -77,7 +77,7 @@
 	return f
 }
 
-// restart makes an instance forget all that it knew.
+// restart makes an instance lose all its state.
 func (f *testFleet) restart(i int) {
 	f.incarnation++
 	h := fleet.Holder{Instance: fleet.InstanceID(fmt.Sprint(i)), Incarnation: f.incarnation}
@@ -86,7 +86,7 @@
 	f.granters[i] = NewGranter()
 }
 
-// uneven gives the first instance 30 % of the traffic and the others even
+// uneven gives the first instance 30 % of the traffic and the others equal
 // parts of the rest.
 func uneven(n int) []float64 {
 	ws := make([]float64, n)
@@ -97,7 +97,7 @@
 	return ws
 }
 
-// run offers the given rate for a while.
+// run offers the given rate for the given time.
 func (f *testFleet) run(d time.Duration, rate float64) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(testStep) {
 		f.finish()
@@ -127,7 +127,7 @@
 	}
 }
 
-// route draws a route by its part of the rate.
+// route draws a route in proportion to its part of the rate.
 func (f *testFleet) route() LimitID {
 	left := f.limits[0].Rate
 	for _, l := range f.limits[1:] {
@@ -147,7 +147,7 @@
 	}
 }
 
-// ask sends the demands that are due: urgent ones at once, others each tick.
+// ask sends the demands that are due: urgent ones at once, others on each tick.
 func (f *testFleet) ask(i int) {
 	ds := f.tables[i].Urgent(f.now)
 	if f.now.Sub(testEpoch)%testTick == 0 {
@@ -188,12 +188,12 @@
 			f.send(wireMessage{from: m.to, to: m.from, charge: m.charge, settled: true, paid: paid})
 			continue
 		}
-		g := f.granters[m.to].Fold(f.now, f.limits, f.view(m.to), *m.demand)
+		g := f.granters[m.to].Grant(f.now, f.limits, f.view(m.to), *m.demand)
 		f.send(wireMessage{from: m.to, to: m.from, grant: &g})
 	}
 }
 
-// accounts is how many instances have an account.
+// accounts returns the number of instances that have an account.
 func (f *testFleet) accounts() int {
 	n := 0
 	for _, t := range f.tables {
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// Lifetime is how long a grant holds without contact.
+	// Lifetime is how long a grant is valid without contact.
 	Lifetime = 6 * time.Second
-	// forgetAfter is when a limiter forgets a silent account. It is longer
-	// than Lifetime, which the account counts from an earlier time.
-	forgetAfter = Lifetime + 2*time.Second
-	// sweepEvery is how often silent accounts are looked for.
-	sweepEvery = time.Second
-	// fairSlack is by how much an account may exceed its fair share of a
-	// contended limit, so that what others leave is used.
+	// accountTimeout is when a limiter drops an account that sends no demands. It
+	// is longer than Lifetime, which the account counts from an earlier time.
+	accountTimeout = Lifetime + 2*time.Second
+	// sweepInterval is the minimum time between sweeps for timed-out accounts.
+	sweepInterval = time.Second
+	// fairSlack is the factor by which an account may exceed its fair share of a
+	// contended limit, so that capacity unused by others is used.
 	fairSlack = 1.5
-	// looseBelow is the share of a concurrency limit in flight below which
-	// the limiter hands out looseFactor times the limit.
-	looseBelow  = 0.5
-	looseFactor = 3
-	// leastSlots is what every account has at least while the limiter is not
-	// heard or little is in flight: with one, the second of two requests at
-	// an instance is refused however little the fleet is used.
-	leastSlots = 2
-	// stockable is the share of the bucket's depth that accounts may hold
-	// together; the rest takes in the rate between two demands.
-	stockable = 0.7
-	// contendedBelow is the share of the bucket's depth below which an
-	// account is held to its fair share.
+	// overcommitBelow is the share of a concurrency limit in flight below which
+	// the limiter hands out overcommitFactor times the limit.
+	overcommitBelow  = 0.5
+	overcommitFactor = 3
+	// minSlots is the minimum of every account while it has no grant or few
+	// requests are in flight: with one slot, the second of two simultaneous
+	// requests at an instance is refused however little the fleet is used.
+	minSlots = 2
+	// maxHeldShare is the share of the bucket's depth that accounts may hold
+	// together; the rest absorbs the rate between two demands.
+	maxHeldShare = 0.7
+	// contendedBelow is the share of the bucket's depth below which an account is
+	// limited to its fair share.
 	contendedBelow = 0.25
 )
 
-// Granter is the limiter of one customer: it folds demands into grants. It
+// Granter is the limiter of one customer: it answers demands with grants. It
 // is not safe for concurrent use.
 type Granter struct {
 	buckets  map[LimitID]*bucket
@@ -47,7 +47,7 @@
 type bucket struct {
 	level float64
 	at    time.Time
-	// The rest are sums over the accounts' shares.
+	// The remaining fields are sums over the accounts' shares.
 	held    float64
 	offered float64
 	busy    float64
@@ -55,12 +55,12 @@
 	wanted  int
 }
 
-// accountState is what the limiter knows of one account.
+// accountState is the limiter's state of one account.
 type accountState struct {
-	incarnation fleet.Incarnation
-	heard       time.Time
-	last        Grant
-	shares      map[LimitID]share
+	incarnation  fleet.Incarnation
+	lastDemandAt time.Time
+	last         Grant
+	shares       map[LimitID]share
 }
 
 // share is one account's part of one limit.
@@ -70,8 +70,9 @@
 	granted  float64
 	offered  float64
 	answered time.Time
-	// reserved are the slots that the account may go by until it is heard: those
-	// granted, those in force before in case the grant is lost, or those in use.
+	// reserved is the number of slots that the account may use until its next
+	// demand: the maximum of those granted, those in force before in case the grant is
+	// lost, and those in use.
 	reserved int
 	wanted   int
 	busy     float64
@@ -85,11 +86,11 @@
 	}
 }
 
-// Expired tells whether a fresh Granter would do as well: all accounts are
-// forgotten and all buckets full.
+// Expired reports whether the Granter is equivalent to a new one: all accounts
+// have timed out and all buckets are full.
 func (g *Granter) Expired(now time.Time, limits Limits) bool {
 	idle := now.Sub(g.used)
-	if idle <= forgetAfter {
+	if idle <= accountTimeout {
 		return false
 	}
 	for i := range limits {
@@ -100,16 +101,16 @@
 	return true
 }
 
-// Fold answers one demand under the limits in force. Parts of the demand for
+// Grant answers one demand under the limits in force. Parts of the demand for
 // limits that are not in force are left out of the grant.
-func (g *Granter) Fold(now time.Time, limits Limits, view View, d Demand) Grant {
+func (g *Granter) Grant(now time.Time, limits Limits, view View, d Demand) Grant {
 	g.used = now
 	g.sweep(now)
 	acct, fresh := g.account(d)
 	if !fresh {
 		return g.repeated(acct, d)
 	}
-	acct.heard = now
+	acct.lastDemandAt = now
 	grant := Grant{Customer: d.Customer, Seq: d.Seq, Lifetime: Lifetime}
 	for i := range d.Limits {
 		ld := &d.Limits[i]
@@ -118,7 +119,7 @@
 			continue
 		}
 		b := g.bucket(now, limit, view)
-		lg := b.fold(now, limit, view, acct.shares[ld.ID], &d, ld)
+		lg := b.grant(now, limit, view, acct.shares[ld.ID], &d, ld)
 		acct.shares[ld.ID] = lg.share
 
 		grant.Limits = append(grant.Limits, lg.LimitGrant)
@@ -127,7 +128,7 @@
 	return grant
 }
 
-// account finds the sender's state and tells whether the demand is new.
+// account returns the sender's state and reports whether the demand is new.
 func (g *Granter) account(d Demand) (*accountState, bool) {
 	a := g.accounts[d.Holder.Instance]
 	if a != nil && a.incarnation == d.Holder.Incarnation {
@@ -161,7 +162,7 @@
 	rate := l.Rate * view.scope()
 	depth := l.Burst * view.scope()
 	if b == nil {
-		// The role may have come here with the last change of the view:
+		// The role may have moved here with the last change of the view:
 		// what an earlier limiter handed out is unknown.
 		b = &bucket{at: now}
 		b.level = math.Min(depth, rate*now.Sub(view.Since).Seconds())
@@ -176,13 +177,13 @@
 	return b
 }
 
-// folded is one limit's part of a grant and the account's share after it.
-type folded struct {
+// limitResult is one limit's part of a grant and the account's share after it.
+type limitResult struct {
 	LimitGrant
 	share
 }
 
-func (b *bucket) fold(now time.Time, l *Limit, view View, s share, d *Demand, ld *LimitDemand) folded {
+func (b *bucket) grant(now time.Time, l *Limit, view View, s share, d *Demand, ld *LimitDemand) limitResult {
 	if s.seq > d.Applied {
 		b.level += s.granted
 	}
@@ -211,17 +212,17 @@
 	if b.offered > 0 {
 		grant.Share = math.Min(1, ld.Offered/b.offered)
 	}
-	return folded{grant, s}
+	return limitResult{grant, s}
 }
 
-// tokens is how much of the demand is granted. While the bucket is low, an
-// account gets at most its share of the offered load.
+// tokens returns the number of tokens granted. While the bucket is low, an
+// account gets at most one token plus fairSlack times its share of the rate.
 func (b *bucket) tokens(now time.Time, l *Limit, view View, s share, d *LimitDemand) float64 {
 	tokens := math.Min(d.Want, b.level)
 	rate := l.Rate * view.scope()
 	depth := l.Burst * view.scope()
 	if b.offered > 0 {
-		part := math.Max(1, stockable*depth*d.Offered/b.offered)
+		part := math.Max(1, maxHeldShare*depth*d.Offered/b.offered)
 		tokens = math.Min(tokens, part-d.Balance)
 	}
 	if b.level < contendedBelow*depth && b.offered > rate {
@@ -235,13 +236,13 @@
 	return math.Max(0, tokens)
 }
 
-// concurrency is how many requests the account may have in flight. While the
-// whole fleet has few in flight, slots are handed out three times over, and its
-// even share, or at least two, to everybody; later each is handed out once, by the accounts'
-// wants. What is handed out from before may then be all of them and more; an account
+// concurrency returns how many requests the account may have in flight. While the
+// fleet has few in flight, slots are handed out three times over, and every account
+// gets at least the greater of its even share and minSlots. Otherwise each slot is
+// handed out once, by the accounts' wants. Earlier grants may then exceed the limit; an account
 // still gets its even share as far as the fleet has fewer in flight than the limit. Without
 // that, one request in 200 was refused with a fifth of the slots in use, for up to 2 s each
-// time, where instances restart one after the other.
+// time, during rolling restarts.
 func (b *bucket) concurrency(l *Limit, view View, d *LimitDemand) int {
 	if l.Concurrency == 0 {
 		return 0
@@ -250,9 +251,9 @@
 	even := int(all) / max(1, view.Listed)
 	free := int(math.Max(0, all-b.busy))
 	least := min(even, d.InFlight+free, d.WantSlots)
-	if b.busy < looseBelow*all {
-		least = max(leastSlots, even)
-		all *= looseFactor
+	if b.busy < overcommitBelow*all {
+		least = max(minSlots, even)
+		all *= overcommitFactor
 	}
 	slots := min(d.WantSlots, int(all)-b.slots)
 	if wanted := float64(b.wanted); wanted > all {
@@ -262,20 +263,20 @@
 	return max(least, slots)
 }
 
-// sweep forgets accounts that were silent for long.
+// sweep drops accounts that sent no demand within accountTimeout.
 func (g *Granter) sweep(now time.Time) {
-	if now.Sub(g.swept) < sweepEvery {
+	if now.Sub(g.swept) < sweepInterval {
 		return
 	}
 	g.swept = now
 	for id, a := range g.accounts {
-		if now.Sub(a.heard) > forgetAfter {
+		if now.Sub(a.lastDemandAt) > accountTimeout {
 			g.drop(id)
 		}
 	}
 }
 
-// drop takes an account's shares out of the sums.
+// drop removes an account and subtracts its shares from the sums.
 func (g *Granter) drop(id fleet.InstanceID) {
 	for lid, s := range g.accounts[id].shares {
 		b := g.buckets[lid]
--- a/ratelimit/limit.go
+++ b/ratelimit/limit.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	// minOwn is the least overdraft of an account, in tokens.
-	minOwn = 2
-	// ownDivisor is the part of the burst that is spread as overdrafts.
-	ownDivisor = 2
-	// fullReach is the share of listed instances from which on a limiter
+	// minOverdraft is the minimum overdraft of an account, in tokens.
+	minOverdraft = 2
+	// overdraftDivisor is the divisor of the burst that gives the sum of all overdrafts.
+	overdraftDivisor = 2
+	// fullReach is the share of listed instances at or above which a limiter
 	// counts all of them as reached.
 	fullReach = 0.9
 )
 
-// LimitID names one limit of a customer. It stays the same over contract
-// revisions and is the same at every instance.
+// LimitID identifies one limit of a customer. It is stable across contract
+// revisions and the same at every instance.
 type LimitID uint32
 
-// Whole is the limit on all of a customer's routes together.
-const Whole LimitID = 0
+// CustomerWide is the limit on all of a customer's routes together.
+const CustomerWide LimitID = 0
 
 // RouteID returns the limit of the route with the given name.
 func RouteID(route string) LimitID {
 	id := LimitID(xxhash.Sum64String(route))
-	if id == Whole {
+	if id == CustomerWide {
 		return 1
 	}
 	return id
@@ -39,7 +39,7 @@
 // Limit is one limit over the whole fleet.
 type Limit struct {
 	ID LimitID
-	// Rate is in requests a second.
+	// Rate is in requests per second.
 	Rate float64
 	// Burst is the depth of the bucket in requests.
 	Burst float64
@@ -47,13 +47,13 @@
 	Concurrency int
 }
 
-// Limits are a customer's limits: the whole first, then its routes.
+// Limits are a customer's limits: the customer-wide limit first, then its routes'.
 type Limits []Limit
 
 // LimitsOf returns the limits that a contract sets.
 func LimitsOf(c *contract.Contract) Limits {
 	limits := make(Limits, 0, 1+len(c.Routes))
-	limits = append(limits, limitOf(Whole, c.Limits))
+	limits = append(limits, limitOf(CustomerWide, c.Limits))
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		limits = append(limits, limitOf(RouteID(r.Name), r.Limits))
@@ -72,17 +72,17 @@
 // Source returns a customer's limits in force.
 type Source func(fleet.CustomerID) (Limits, bool)
 
-// View is what an instance knows of the fleet.
+// View is an instance's view of the fleet.
 type View struct {
 	// Listed is the number of instances on the platform's list, at least 1.
 	Listed int
-	// Reached is how many of them, this one included, answer to this one.
+	// Reached is how many of them, including this one, this instance can reach.
 	Reached int
 	// Since is when the view last changed.
 	Since time.Time
 }
 
-// scope is the share of each limit that a limiter with this view hands out.
+// scope returns the share of each limit that a limiter with this view hands out.
 func (v View) scope() float64 {
 	share := float64(v.Reached) / float64(v.listed())
 	if share >= fullReach {
@@ -93,12 +93,12 @@
 
 func (v View) listed() int { return max(1, v.Listed) }
 
-// own is the overdraft of one account in tokens.
-func (l *Limit) own(n int) float64 {
-	return math.Max(minOwn, l.Burst/float64(ownDivisor*n))
+// overdraft returns the overdraft of one account in tokens.
+func (l *Limit) overdraft(n int) float64 {
+	return math.Max(minOverdraft, l.Burst/float64(overdraftDivisor*n))
 }
 
-// ownSlots is the concurrency of an account without a grant.
+// ownSlots returns the concurrency of an account without a grant.
 func (l *Limit) ownSlots(n int) int {
-	return max(leastSlots, l.Concurrency/n)
+	return max(minSlots, l.Concurrency/n)
 }
--- a/ratelimit/message.go
+++ b/ratelimit/message.go
@@ -6,14 +6,14 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// Demand is what an account tells its customer's limiter.
+// Demand is an account's request to its customer's limiter.
 type Demand struct {
 	Customer fleet.CustomerID
 	Holder   fleet.Holder
-	// Seq numbers the demands of one process upwards; 1 is the first.
+	// Seq numbers the demands of one process in increasing order, starting at 1.
 	Seq uint64
 	// Applied is the Seq of the last grant that the account applied. Of later
-	// ones it applies none but the answer to this demand.
+	// grants it applies only the one that answers this demand.
 	Applied uint64
 	Limits  []LimitDemand
 }
@@ -23,9 +23,9 @@
 	ID LimitID
 	// Balance is in tokens; it is negative while the account is in debt.
 	Balance float64
-	// Want is how many tokens would fill the account up to its target.
+	// Want is the number of tokens that the account lacks.
 	Want float64
-	// Offered is the rate of requests, refused ones included, per second.
+	// Offered is the rate of requests per second, including refused ones.
 	Offered float64
 	// Slots is the concurrency that was granted and is in force, 0 if none is.
 	Slots int
@@ -33,16 +33,16 @@
 	InFlight int
 	// Busy is the mean number of requests in flight since the last demand.
 	Busy float64
-	// WantSlots is the concurrency that the account has use for.
+	// WantSlots is the concurrency that the account can use.
 	WantSlots int
 }
 
 // Charge pays the debt of an account that is used too rarely to hold tokens. It
-// needs no state at the limiter. One whose answer is lost is made again: then
-// the customer has paid twice.
+// needs no state at the limiter. A charge whose answer is lost is made again, so
+// that the customer pays twice.
 type Charge struct {
 	Customer fleet.CustomerID
-	// Seq tells the charges of a process apart; it stays there.
+	// Seq identifies a charge within the process; it is not sent to the limiter.
 	Seq    uint64
 	Limits []LimitCharge
 }
@@ -53,7 +53,7 @@
 	Tokens float64
 }
 
-// Due is what an instance has to tell limiters at one moment.
+// Due holds the messages that an instance has to send to limiters.
 type Due struct {
 	Demands []Demand
 	Charges []Charge
@@ -64,10 +64,10 @@
 	Customer fleet.CustomerID
 	// Seq is that of the demand.
 	Seq uint64
-	// Lifetime is how long the grant holds, from when the demand was sent.
+	// Lifetime is how long the grant is valid, from when the demand was sent.
 	Lifetime time.Duration
-	// Stale says that the demand was older than one already answered; the
-	// grant is empty then.
+	// Stale reports that the demand was older than one already answered; the
+	// grant is then empty.
 	Stale  bool
 	Limits []LimitGrant
 }
@@ -79,7 +79,7 @@
 	Tokens float64
 	// Slots replace the account's concurrency.
 	Slots int
-	// Level is what the limiter has left, in tokens; for headers only.
+	// Level is the number of tokens left at the limiter, for headers only.
 	Level float64
 	// Share is the account's part of the requests offered over the fleet.
 	Share float64
--- a/ratelimit/overshoot_test.go
+++ b/ratelimit/overshoot_test.go
@@ -11,9 +11,9 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// history is a small fleet whose messages are lost, repeated, late and out of
-// order, whose instances restart, and whose limiter moves between two
-// instances or is both at once.
+// history is a small fleet whose messages are lost, repeated, delayed and
+// reordered, whose instances restart, and whose limiter moves between two
+// instances or runs on both at once.
 type history struct {
 	t        *rapid.T
 	now      time.Time
@@ -28,10 +28,10 @@
 	passed   int
 	inFlight int
 	restarts int
-	// limiters counts those at once, moves the times that one lost its state.
+	// limiters counts concurrent limiters, moves how often one lost its state.
 	limiters int
 	moves    int
-	// cutOff sums the time that accounts lived on their own entitlement.
+	// cutOff sums the time that accounts used their own entitlement.
 	cutOff time.Duration
 }
 
@@ -40,7 +40,7 @@
 func newHistory(t *rapid.T) *history {
 	h := &history{t: t, now: testEpoch, limiters: 1}
 	h.limits = Limits{{
-		ID:          Whole,
+		ID:          CustomerWide,
 		Rate:        rapid.Float64Range(0.1, 5).Draw(t, "rate"),
 		Burst:       float64(rapid.IntRange(1, 100).Draw(t, "burst")),
 		Concurrency: rapid.SampledFrom([]int{0, 1, 10, 40}).Draw(t, "concurrency"),
@@ -69,10 +69,10 @@
 
 func (h *history) instance() int { return rapid.IntRange(0, historySize-1).Draw(h.t, "instance") }
 
-// flood offers more at an instance than it can let through.
+// flood offers an instance more requests than it can admit.
 func (h *history) flood(i int) {
 	for range 300 {
-		d := h.tables[i].Take(h.now, "c", Whole)
+		d := h.tables[i].Take(h.now, "c", CustomerWide)
 		if !d.OK {
 			return
 		}
@@ -100,13 +100,13 @@
 	dt := time.Duration(ms) * time.Millisecond
 	h.now = h.now.Add(dt)
 	for _, table := range h.tables {
-		if a := table.known("c"); a != nil && a.waiting && h.now.Sub(a.heard) > Lifetime {
+		if a := table.lookup("c"); a != nil && a.waiting && h.now.Sub(a.lastGrantAt) > Lifetime {
 			h.cutOff += dt
 		}
 	}
 }
 
-// round floods an instance and lets it ask; the demand or the grant may be
+// round floods an instance and sends its demands; the demand or the grant may be
 // lost or delivered later.
 func (h *history) round() {
 	i := h.instance()
@@ -121,7 +121,7 @@
 		if fate == "demand lost" {
 			continue
 		}
-		g := h.fold(d)
+		g := h.grant(d)
 		if fate == "whole" {
 			h.tables[i].Apply(h.now, g)
 			h.flood(i)
@@ -144,13 +144,13 @@
 	return View{Listed: historySize, Reached: historySize, Since: h.since[g]}
 }
 
-// late folds one of the last demands, perhaps again, and delivers one of the
-// last grants, perhaps again.
+// late handles one of the last demands, possibly again, and delivers one of the
+// last grants, possibly again.
 func (h *history) late() {
 	if len(h.demands) == 0 {
 		h.t.Skip("nothing was sent")
 	}
-	h.fold(latest(h.t, "demand", h.demands))
+	h.grant(latest(h.t, "demand", h.demands))
 	g := latest(h.t, "grant", h.grants)
 	h.tables[g.to].Apply(h.now, g.Grant)
 }
@@ -159,15 +159,15 @@
 	return all[rapid.IntRange(max(0, len(all)-6), len(all)-1).Draw(t, name)]
 }
 
-// sentGrant is a grant and the instance that it goes to.
+// sentGrant is a grant and the instance that it is sent to.
 type sentGrant struct {
 	Grant
 	to int
 }
 
-func (h *history) fold(d Demand) Grant {
+func (h *history) grant(d Demand) Grant {
 	g := rapid.IntRange(0, h.limiters-1).Draw(h.t, "limiter")
-	grant := h.granters[g].Fold(h.now, h.limits, h.view(g), d)
+	grant := h.granters[g].Grant(h.now, h.limits, h.view(g), d)
 	to, err := strconv.Atoi(string(d.Holder.Instance))
 	if err != nil {
 		h.t.Fatal(err)
@@ -192,20 +192,20 @@
 
 func (h *history) secondLimiter() { h.limiters = 2 }
 
-// check compares what passed with the formula of the package comment. Here a
-// limiter that lost its state starts empty, as its view has just changed.
+// check compares the admitted requests with the formula of the package comment. A
+// limiter that lost its state starts empty here, as its view has just changed.
 func (h *history) check() {
 	l := &h.limits[0]
 	t := h.now.Sub(testEpoch).Seconds()
 	g := float64(h.limiters)
 	bound := g*(l.Rate*t+l.Burst) + l.Rate*h.cutOff.Seconds()/historySize +
-		float64(historySize+h.restarts)*l.own(historySize)
+		float64(historySize+h.restarts)*l.overdraft(historySize)
 	if float64(h.passed) > bound+0.01 {
-		h.t.Fatalf("%d passed, at most %.1f", h.passed, bound)
+		h.t.Fatalf("%d requests admitted, want at most %.1f", h.passed, bound)
 	}
-	slots := (h.limiters+h.moves)*((looseFactor+1)*l.Concurrency+leastSlots*historySize) + historySize*l.ownSlots(historySize)
+	slots := (h.limiters+h.moves)*((overcommitFactor+1)*l.Concurrency+minSlots*historySize) + historySize*l.ownSlots(historySize)
 	if l.Concurrency > 0 && h.inFlight > slots {
-		h.t.Fatalf("%d in flight, at most %d", h.inFlight, slots)
+		h.t.Fatalf("%d requests in flight, want at most %d", h.inFlight, slots)
 	}
 }
 
--- a/ratelimit/ratelimit_test.go
+++ b/ratelimit/ratelimit_test.go
@@ -12,12 +12,12 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-func wholeLimit(rate float64) Limits {
-	return Limits{{ID: Whole, Rate: rate, Burst: rate}}
+func customerLimit(rate float64) Limits {
+	return Limits{{ID: CustomerWide, Rate: rate, Burst: rate}}
 }
 
-// overshoot is how far more passed than the rate over a time gives, as a
-// share of that.
+// overshoot returns by how much the admitted requests exceed the rate over a
+// time, as a share of the rate.
 func (f *testFleet) overshoot(d time.Duration) float64 {
 	return float64(f.passed)/(f.limits[0].Rate*d.Seconds()) - 1
 }
@@ -34,13 +34,13 @@
 	} {
 		passed, due := 0.0, 0.0
 		for seed := range c.seeds {
-			f := newTestFleet(seed+1, 44, wholeLimit(c.rate), uneven(44))
+			f := newTestFleet(seed+1, 44, customerLimit(c.rate), uneven(44))
 			f.run(5*time.Second, c.rate*c.load)
 			f.reset()
 			f.run(span, c.rate*c.load)
 			passed += float64(f.passed)
 			due += min(float64(f.offered), c.rate*span.Seconds())
-			bound := c.rate*span.Seconds() + c.rate + 44*f.limits[0].own(44)
+			bound := c.rate*span.Seconds() + c.rate + 44*f.limits[0].overdraft(44)
 			assert.Assert(t, float64(f.passed) <= bound)
 		}
 		t.Logf("rate %v load %v: %.3f of what is due", c.rate, c.load, passed/due)
@@ -50,7 +50,7 @@
 
 func TestHalvesCutOffFromEachOther(t *testing.T) {
 	const n, rate, split, span = 44, 200, 5 * time.Second, 20 * time.Second
-	f := newTestFleet(2, n, wholeLimit(rate), uneven(n))
+	f := newTestFleet(2, n, customerLimit(rate), uneven(n))
 	f.run(10*time.Second, 2*rate)
 	half := func(i int) int { return i / (n / 2) }
 	f.lost = func(from, to int) bool { return half(from) != half(to) }
@@ -78,12 +78,12 @@
 	assert.Assert(t, f.overshoot(span) >= -0.02, "after the cut: %.3f", f.overshoot(span))
 }
 
-// TestFloodIsForgottenSoon allows for the time in which half of the rate pays
+// TestRecoveryAfterFlood allows for the time in which half of the rate pays
 // the overdrafts, and for the longest pause between demands.
-func TestFloodIsForgottenSoon(t *testing.T) {
+func TestRecoveryAfterFlood(t *testing.T) {
 	for _, rate := range []float64{20, 200} {
-		f := newTestFleet(8, 44, wholeLimit(rate), uneven(44))
-		debts := 44 * f.limits[0].own(44)
+		f := newTestFleet(8, 44, customerLimit(rate), uneven(44))
+		debts := 44 * f.limits[0].overdraft(44)
 		f.run(10*time.Second, 10*rate)
 		f.run(maxPause+seconds(debts/(rate/2)), rate/2)
 		f.reset()
@@ -99,7 +99,7 @@
 	for i := range even {
 		even[i] = 1.0 / n
 	}
-	f := newTestFleet(3, n, wholeLimit(rate), even)
+	f := newTestFleet(3, n, customerLimit(rate), even)
 	f.lost = func(int, int) bool { return true }
 	f.run(20*time.Second, 3*rate)
 	f.reset()
@@ -110,7 +110,7 @@
 
 func TestTheRoleMovesEverySecondTick(t *testing.T) {
 	const n, rate, span, every = 44, 200, 40 * time.Second, 10 * time.Second
-	f := newTestFleet(4, n, wholeLimit(rate), uneven(n))
+	f := newTestFleet(4, n, customerLimit(rate), uneven(n))
 	turn := func() int { return int(f.now.Sub(testEpoch) / every) }
 	f.role = func(int) int { return turn() % 2 * 7 }
 	f.view = func(int) View {
@@ -120,13 +120,13 @@
 	f.reset()
 	f.run(span, 2*rate)
 	moves := float64(span / every)
-	assert.Assert(t, float64(f.passed) <= rate*span.Seconds()+moves*rate+n*f.limits[0].own(n))
+	assert.Assert(t, float64(f.passed) <= rate*span.Seconds()+moves*rate+n*f.limits[0].overdraft(n))
 	assert.Assert(t, f.overshoot(span) >= -0.02, "%.3f", f.overshoot(span))
 }
 
 func TestTwoLimitersAtOnceAtMostDouble(t *testing.T) {
 	const n, rate, span = 44, 200, 20 * time.Second
-	f := newTestFleet(5, n, wholeLimit(rate), uneven(n))
+	f := newTestFleet(5, n, customerLimit(rate), uneven(n))
 	f.role = func(i int) int { return i % 2 }
 	f.run(10*time.Second, 5*rate)
 	f.reset()
@@ -136,7 +136,7 @@
 
 func TestConcurrencyOverTheFleet(t *testing.T) {
 	const n, slots = 44, 40
-	limits := wholeLimit(2000)
+	limits := customerLimit(2000)
 	limits[0].Concurrency = slots
 	f := newTestFleet(6, n, limits, uneven(n))
 	f.hold = 10 * time.Second
@@ -156,9 +156,9 @@
 }
 
 // TestFewRequestsInFlightAreNotRefused offers a tenth of the concurrency limit
-// to few instances: random arrivals alone must not run into it.
+// to few instances: random arrivals alone must not exceed it.
 func TestFewRequestsInFlightAreNotRefused(t *testing.T) {
-	limits := wholeLimit(2000)
+	limits := customerLimit(2000)
 	limits[0].Concurrency = 140
 	f := newTestFleet(7, 2, limits, []float64{0.9, 0.1})
 	f.hold = 50 * time.Millisecond
@@ -166,20 +166,20 @@
 	assert.Equal(t, f.passed, f.offered)
 }
 
-// TestInstancesThatRestartLeaveSlotsToTheOthers: while three instances restarted one after the
-// other, one of 62 uploads was refused by its route's concurrency, with about 5 of 24 slots
-// in use. While few were in flight the limiter had handed out slots three times over.
-// Accounts tell of their use when they run short, at its peaks, so that with a few uploads at
-// once more than half seemed to be in use; slots were then handed out once, all of them were
-// out, and who asked next got none until the others had let theirs go. Proved by the
-// limiter's sums at each refusal: 25 to 34 slots handed out, 9 to 16 said to be in use.
-func TestInstancesThatRestartLeaveSlotsToTheOthers(t *testing.T) {
+// TestRollingRestartKeepsSlotsAvailable guards against refusals by a route's
+// concurrency during a rolling restart of three instances: one of 62 uploads was refused
+// with about 5 of 24 slots in use. While few requests were in flight the limiter had handed
+// out slots three times over. Accounts report their use at its peaks, when they run short,
+// so that with a few simultaneous uploads more than half seemed to be in use. Slots were
+// then handed out once; all were out, and the next account to send a demand got none until others
+// released theirs. At each refusal 25 to 34 slots were handed out and 9 to 16 reported in use.
+func TestRollingRestartKeepsSlotsAvailable(t *testing.T) {
 	const (
 		instances, slots = 3, 24
 		uploads          = 3 // a second
 		seeds            = 60
 	)
-	limits := append(wholeLimit(1200), Limit{ID: 1, Rate: 60, Burst: 60, Concurrency: slots})
+	limits := append(customerLimit(1200), Limit{ID: 1, Rate: 60, Burst: 60, Concurrency: slots})
 	offered, refused := 0, 0
 	for seed := range uint64(seeds) {
 		f := newTestFleet(seed, instances, limits, []float64{1. / 3, 1. / 3, 1. / 3})
@@ -204,27 +204,27 @@
 		}
 		offered, refused = offered+f.offered, refused+f.offered-f.passed
 	}
-	// What is left met an instance with all of its even share, 8 slots, in use.
+	// The remaining refusals hit an instance with all 8 slots of its even share in use.
 	t.Logf("%d of %d refused", refused, offered)
 	assert.Assert(t, refused*1000 <= offered, "%d of %d", refused, offered)
 }
 
-// TestTwoAtOnceAtAnyInstance sends two requests at once to a fresh instance
+// TestTwoAtOnceAtAnyInstance sends two simultaneous requests to a fresh instance
 // whose even share of the concurrency is less than one.
 func TestTwoAtOnceAtAnyInstance(t *testing.T) {
-	limits := wholeLimit(1000)
+	limits := customerLimit(1000)
 	limits[0].Concurrency = 24
 	f := newTestFleet(9, 36, limits, uneven(36))
-	first := f.tables[5].Take(f.now, "c", Whole)
-	second := f.tables[5].Take(f.now, "c", Whole)
+	first := f.tables[5].Take(f.now, "c", CustomerWide)
+	second := f.tables[5].Take(f.now, "c", CustomerWide)
 	assert.Assert(t, first.OK && second.OK)
 }
 
-// TestARefusalNamesWhatIsMissing takes until each of two limits refuses.
-func TestARefusalNamesWhatIsMissing(t *testing.T) {
+// TestRefusalReason takes until each of two limits refuses.
+func TestRefusalReason(t *testing.T) {
 	route := RouteID("prices")
 	f := newTestFleet(10, 1, Limits{
-		{ID: Whole, Rate: 1, Burst: 20},
+		{ID: CustomerWide, Rate: 1, Burst: 20},
 		{ID: route, Rate: 1000, Burst: 1000, Concurrency: 3},
 	}, []float64{1})
 	refused := func() (last Decision) {
@@ -236,18 +236,18 @@
 	d := refused()
 	assert.Equal(t, d.Refusal, NoSlot)
 	assert.Equal(t, d.RefusedBy, route)
-	for d = f.tables[0].Take(f.now, "c", Whole); d.OK; {
-		d = f.tables[0].Take(f.now, "c", Whole)
+	for d = f.tables[0].Take(f.now, "c", CustomerWide); d.OK; {
+		d = f.tables[0].Take(f.now, "c", CustomerWide)
 	}
 	assert.Equal(t, d.Refusal, NoToken)
-	assert.Equal(t, d.RefusedBy, Whole)
+	assert.Equal(t, d.RefusedBy, CustomerWide)
 }
 
-// TestLittleUseGoesOnWhenTheLimiterIsCutOff loses the limiter in the middle of
-// a use far below the limit.
-func TestLittleUseGoesOnWhenTheLimiterIsCutOff(t *testing.T) {
+// TestLightUseContinuesWithoutLimiter loses contact with the limiter while
+// the use is far below the limit.
+func TestLightUseContinuesWithoutLimiter(t *testing.T) {
 	for seed := range uint64(40) {
-		f := newTestFleet(seed, 3, wholeLimit(100), []float64{0.2, 0.4, 0.4})
+		f := newTestFleet(seed, 3, customerLimit(100), []float64{0.2, 0.4, 0.4})
 		f.run(5*time.Second, 16)
 		f.lost = func(from, to int) bool { return from != to }
 		f.run(20*time.Second, 16)
@@ -258,7 +258,7 @@
 func TestRouteLimitsWithinTheWhole(t *testing.T) {
 	route := RouteID("prices")
 	f := newTestFleet(7, 4, Limits{
-		{ID: Whole, Rate: 100, Burst: 100},
+		{ID: CustomerWide, Rate: 100, Burst: 100},
 		{ID: route, Rate: 30, Burst: 30},
 	}, []float64{0.25, 0.25, 0.25, 0.25})
 	f.run(10*time.Second, 100)
@@ -270,7 +270,7 @@
 
 func TestRoutesWithRateAndConcurrency(t *testing.T) {
 	const rate = 200
-	limits := wholeLimit(rate)
+	limits := customerLimit(rate)
 	for name, part := range map[string]float64{"prices": 0.6, "parts": 0.25, "plans": 0.15} {
 		limits = append(limits, Limit{ID: RouteID(name), Rate: rate * part, Burst: rate * part, Concurrency: 40})
 	}
@@ -285,51 +285,51 @@
 }
 
 func TestGrants(t *testing.T) {
-	limits := wholeLimit(100)
+	limits := customerLimit(100)
 	view := View{Listed: 10, Reached: 10, Since: testEpoch.Add(-time.Hour)}
 	demand := Demand{Customer: "c", Seq: 1, Limits: []LimitDemand{{Want: 10, Offered: 10}}}
 	demand.Holder.Instance, demand.Holder.Incarnation = "a", 2
 	g := NewGranter()
-	first := g.Fold(testEpoch, limits, view, demand)
+	first := g.Grant(testEpoch, limits, view, demand)
 	assert.Equal(t, first.Limits[0].Tokens, 10.0)
 
-	again := g.Fold(testEpoch, limits, view, demand)
+	again := g.Grant(testEpoch, limits, view, demand)
 	assert.DeepEqual(t, again, first)
 
 	demand.Seq = 2
-	lost := g.Fold(testEpoch, limits, view, demand)
+	lost := g.Grant(testEpoch, limits, view, demand)
 	assert.Equal(t, lost.Limits[0].Level, 90.0, "the lost grant is taken back")
 
 	demand.Seq, demand.Applied = 3, 2
-	applied := g.Fold(testEpoch, limits, view, demand)
-	assert.Equal(t, applied.Limits[0].Level, 80.0, "an applied grant is not")
+	applied := g.Grant(testEpoch, limits, view, demand)
+	assert.Equal(t, applied.Limits[0].Level, 80.0, "an applied grant is not taken back")
 
 	demand.Seq = 1
-	assert.Assert(t, g.Fold(testEpoch, limits, view, demand).Stale)
+	assert.Assert(t, g.Grant(testEpoch, limits, view, demand).Stale)
 
 	demand.Holder.Incarnation, demand.Seq = 1, 9
-	assert.Assert(t, g.Fold(testEpoch, limits, view, demand).Stale, "an earlier process")
+	assert.Assert(t, g.Grant(testEpoch, limits, view, demand).Stale, "an earlier process")
 
-	assert.Equal(t, g.buckets[Whole].held, 10.0)
+	assert.Equal(t, g.buckets[CustomerWide].held, 10.0)
 	g.bucket(testEpoch.Add(5*time.Second), &limits[0], view)
-	assert.Equal(t, g.buckets[Whole].level, 90.0, "what accounts hold is part of the burst")
-	g.Fold(testEpoch.Add(time.Minute), limits, view, Demand{})
-	assert.Equal(t, g.buckets[Whole].held, 0.0, "silent accounts are forgotten")
+	assert.Equal(t, g.buckets[CustomerWide].level, 90.0, "what accounts hold is part of the burst")
+	g.Grant(testEpoch.Add(time.Minute), limits, view, Demand{})
+	assert.Equal(t, g.buckets[CustomerWide].held, 0.0, "accounts without demands are dropped")
 }
 
-func TestSlotsCountUntilTheAccountHasLetThemGo(t *testing.T) {
-	limits := wholeLimit(100)
+func TestSlotsStayReservedUntilReleased(t *testing.T) {
+	limits := customerLimit(100)
 	limits[0].Concurrency = 10
 	view := View{Listed: 2, Reached: 2, Since: testEpoch}
 	g := NewGranter()
 	ask := func(id string, seq uint64, inForce, want int) int {
 		d := Demand{Seq: seq, Applied: seq - 1, Limits: []LimitDemand{{Slots: inForce, WantSlots: want, Busy: 9}}}
 		d.Holder.Instance = fleet.InstanceID(id)
-		return g.Fold(testEpoch, limits, view, d).Limits[0].Slots
+		return g.Grant(testEpoch, limits, view, d).Limits[0].Slots
 	}
 	assert.Equal(t, ask("a", 1, 0, 8), 8)
 	assert.Equal(t, ask("a", 2, 8, 1), 1)
-	assert.Equal(t, ask("b", 1, 0, 8), 2, "a may still go by 8")
+	assert.Equal(t, ask("b", 1, 0, 8), 2, "a may still use 8 slots")
 	assert.Equal(t, ask("a", 3, 8, 1), 1)
 	assert.Equal(t, ask("b", 2, 2, 8), 2, "the grant to a was lost")
 	assert.Equal(t, ask("a", 4, 1, 1), 1)
@@ -337,58 +337,58 @@
 }
 
 func TestAccountsAnswerAndLifetime(t *testing.T) {
-	limits := wholeLimit(100)
+	limits := customerLimit(100)
 	table := NewTable(fleet.Holder{Instance: "a"}, func(fleet.CustomerID) (Limits, bool) { return limits, true }, func() {})
 	now := testEpoch
-	for table.Take(now, "c", Whole).OK {
+	for table.Take(now, "c", CustomerWide).OK {
 	}
 	grant := func(seq uint64) Grant {
 		return Grant{Customer: "c", Seq: seq, Lifetime: Lifetime, Limits: []LimitGrant{{Tokens: 50}}}
 	}
-	now = now.Add(askLazily)
+	now = now.Add(smallDemandInterval)
 	first := table.Due(now).Demands
 	assert.Equal(t, len(first), 1)
-	now = now.Add(answerWithin + askLazily)
+	now = now.Add(grantTimeout + smallDemandInterval)
 	second := table.Due(now).Demands
 	assert.Equal(t, len(second), 1)
-	assert.Assert(t, !table.Apply(now, grant(first[0].Seq)), "given up")
+	assert.Assert(t, !table.Apply(now, grant(first[0].Seq)), "the demand timed out")
 	assert.Assert(t, table.Apply(now, grant(second[0].Seq)))
 	assert.Assert(t, !table.Apply(now, grant(second[0].Seq)), "applied already")
-	assert.Equal(t, table.known("c").lines[0].balance, 50.0, "the debt was earned while cut off")
+	assert.Equal(t, table.lookup("c").lines[0].balance, 50.0, "the entitlement paid the debt while cut off")
 
 	now = now.Add(Lifetime + time.Second)
-	table.Take(now, "c", Whole).Done(now)
-	assert.Equal(t, table.known("c").lines[0].balance, -1.0, "the grant has ended")
+	table.Take(now, "c", CustomerWide).Done(now)
+	assert.Equal(t, table.lookup("c").lines[0].balance, -1.0, "the grant has expired")
 
-	now = now.Add(idleAfter)
+	now = now.Add(idleTimeout)
 	debt := table.Due(now).Demands
 	assert.Equal(t, len(debt), 1, "an account in debt is kept")
 }
 
 func TestRareUseIsPaidByCharges(t *testing.T) {
-	limits := wholeLimit(100)
+	limits := customerLimit(100)
 	table := NewTable(fleet.Holder{Instance: "a"}, func(fleet.CustomerID) (Limits, bool) { return limits, true }, func() {})
 	view := View{Listed: 1, Reached: 1, Since: testEpoch.Add(-time.Second)}
 	now, g := testEpoch, NewGranter()
-	table.Take(now, "c", Whole).Done(now)
-	now = now.Add(chargeEvery)
+	table.Take(now, "c", CustomerWide).Done(now)
+	now = now.Add(chargeInterval)
 	due := table.Due(now)
 	assert.Equal(t, len(due.Demands), 0)
 	assert.Equal(t, due.Charges[0].Limits[0].Tokens, 1.0)
-	assert.Equal(t, len(table.Due(now).Charges), 0, "one is under way")
+	assert.Equal(t, len(table.Due(now).Charges), 0, "a charge is pending")
 
-	now = now.Add(chargeEvery)
+	now = now.Add(chargeInterval)
 	again := table.Due(now).Charges[0]
 	assert.Assert(t, g.Charge(now, limits, view, again))
-	assert.Equal(t, g.buckets[Whole].level, 99.0)
+	assert.Equal(t, g.buckets[CustomerWide].level, 99.0)
 	table.Settle(due.Charges[0], true)
-	assert.Equal(t, table.known("c").lines[0].balance, -1.0, "a late answer")
+	assert.Equal(t, table.lookup("c").lines[0].balance, -1.0, "a late answer has no effect")
 	table.Settle(again, true)
-	assert.Equal(t, table.known("c").lines[0].balance, 0.0)
+	assert.Equal(t, table.lookup("c").lines[0].balance, 0.0)
 
-	g.buckets[Whole].level = 0.5
-	assert.Assert(t, !g.Charge(now, limits, view, again), "the bucket is short")
-	now = now.Add(idleAfter)
+	g.buckets[CustomerWide].level = 0.5
+	assert.Assert(t, !g.Charge(now, limits, view, again), "the bucket is too low")
+	now = now.Add(idleTimeout)
 	table.Due(now)
 	assert.Equal(t, table.Len(), 0)
 }
--- a/ratelimit/table.go
+++ b/ratelimit/table.go
@@ -9,11 +9,11 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// tableShards bounds contention among requests of different customers.
+// tableShards limits lock contention among requests of different customers.
 const tableShards = 32
 
 // Table holds an instance's accounts. Take is for the request path; Due,
-// Apply and the setters belong to the tick. It is safe for concurrent use.
+// Apply and the setters are called by the tick. It is safe for concurrent use.
 type Table struct {
 	holder fleet.Holder
 	source Source
@@ -52,12 +52,12 @@
 	}
 	d, urgent := a.take(now, route)
 	if urgent {
-		t.turnUrgent(a)
+		t.markUrgent(a)
 	}
 	return d
 }
 
-func (t *Table) turnUrgent(a *Account) {
+func (t *Table) markUrgent(a *Account) {
 	t.urgentMu.Lock()
 	t.urgent = append(t.urgent, a)
 	t.urgentMu.Unlock()
@@ -85,17 +85,17 @@
 	return &t.shards[maphash.String(t.seed, string(c))%tableShards]
 }
 
-// known returns a customer's account, nil if there is none.
-func (t *Table) known(c fleet.CustomerID) *Account {
+// lookup returns a customer's account, nil if there is none.
+func (t *Table) lookup(c fleet.CustomerID) *Account {
 	s := t.shard(c)
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.accounts[c]
 }
 
-// account returns a customer's account and begins one if need be.
+// account returns a customer's account and creates it if necessary.
 func (t *Table) account(now time.Time, c fleet.CustomerID) *Account {
-	if a := t.known(c); a != nil {
+	if a := t.lookup(c); a != nil {
 		return a
 	}
 	limits, ok := t.source(c)
@@ -114,10 +114,10 @@
 }
 
 // Share returns this instance's part of the requests offered to a route over
-// the fleet: 1/n while the limiter has not told.
+// the fleet, or 1/n if the limiter has not sent one.
 func (t *Table) Share(c fleet.CustomerID, route LimitID) float64 {
 	share := 1 / float64(t.listed.Load())
-	a := t.known(c)
+	a := t.lookup(c)
 	if a == nil {
 		return share
 	}
@@ -141,7 +141,7 @@
 	return n
 }
 
-// SetView puts a new number of listed instances in force.
+// SetView updates the number of listed instances.
 func (t *Table) SetView(v View) {
 	if t.listed.Swap(int64(v.listed())) == int64(v.listed()) {
 		return
@@ -149,7 +149,7 @@
 	t.each(func(_ *shard, a *Account) { a.listed = v.listed() })
 }
 
-// Reload puts a customer's changed contract in force.
+// Reload applies a customer's changed contract.
 func (t *Table) Reload(now time.Time, c fleet.CustomerID) {
 	limits, ok := t.source(c)
 	s := t.shard(c)
@@ -168,7 +168,7 @@
 	a.setLimits(now, limits)
 }
 
-// Due returns the demands and charges that are due and ends idle accounts.
+// Due returns the demands and charges that are due and removes idle accounts.
 func (t *Table) Due(now time.Time) Due {
 	var due Due
 	t.each(func(s *shard, a *Account) {
@@ -184,9 +184,9 @@
 	return due
 }
 
-// Apply books a grant and tells whether it had an effect.
+// Apply records a grant and reports whether it took effect.
 func (t *Table) Apply(now time.Time, g Grant) bool {
-	a := t.known(g.Customer)
+	a := t.lookup(g.Customer)
 	if a == nil {
 		return false
 	}
@@ -195,9 +195,9 @@
 	return a.apply(now, g)
 }
 
-// Settle ends a charge that was answered: paid or not.
+// Settle completes a charge that was answered: paid or not.
 func (t *Table) Settle(c Charge, paid bool) {
-	a := t.known(c.Customer)
+	a := t.lookup(c.Customer)
 	if a == nil {
 		return
 	}
