--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -13,7 +13,7 @@
 )
 
 // BenchmarkKeys folds a claim and a completion of 256 bytes for each of a
-// partition's keys, in records of 50 entries, and reports what a key takes.
+// partition's keys, in records of 50 entries, and reports time, heap and log size.
 func BenchmarkKeys(b *testing.B) {
 	for _, n := range []int{1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -43,11 +43,11 @@
 }
 
 func keyRecords(b *testing.B, n int) (records []logservice.Record, size int) {
-	const together = 25 // keys in a record
+	const keysPerRecord = 25
 	answer := operation.NewCompleted(201, nil, make([]byte, 256))
-	for from := 0; from < n; from += together {
+	for from := 0; from < n; from += keysPerRecord {
 		var entries []Entry
-		for k := from; k < min(from+together, n); k++ {
+		for k := from; k < min(from+keysPerRecord, n); k++ {
 			key := operation.Key{Customer: "customer-17", Name: fmt.Sprintf("0192f3c4-7b1e-7f0b-8a55-%012d", k)}
 			id := ID{Holder: hx, Seq: uint64(k)}
 			entries = append(entries,
--- a/claim/checker_test.go
+++ b/claim/checker_test.go
@@ -12,7 +12,7 @@
 	"github.com/clementinereel/clementinereel/operation"
 )
 
-// stepsPerHistory is how long the faults of one history last.
+// stepsPerHistory is the number of steps with faults in one history.
 const stepsPerHistory = 300
 
 func TestMain(m *testing.M) {
@@ -27,14 +27,14 @@
 
 var modelKeys = []operation.Key{{Customer: "c", Name: "a"}, {Customer: "c", Name: "b"}}
 
-// history runs one history and returns the promise that it broke, if any.
+// history runs one history and returns the invariant that it violated, if any.
 func history(rt *rapid.T, r rules) error {
 	seed := seeds.Draw(rt, "seed")
 	err := newModel(seed, r, false).run()
 	if err != nil {
-		again := newModel(seed, r, true)
-		_ = again.run()
-		rt.Log(strings.Join(again.trace, "\n"))
+		traced := newModel(seed, r, true)
+		_ = traced.run()
+		rt.Log(strings.Join(traced.trace, "\n"))
 	}
 	return err
 }
@@ -44,14 +44,14 @@
 		m.advance()
 	}
 	if m.err == nil && m.rules == (rules{}) {
-		m.heal()
+		m.endFaults()
 		m.repeat(modelKeys)
 	}
 	return m.err
 }
 
-// At most once, truthful not run, and a final answer for each repeat once the
-// faults have ended.
+// Guards against operations that run more than once, wrong reports of "not run",
+// and repeats that get no final response after the faults have ended.
 func TestPromisesHoldUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		if err := history(rt, rules{}); err != nil {
@@ -60,15 +60,15 @@
 	})
 }
 
-// Each rule is needed: without it the checker finds a broken promise.
+// Every protocol rule is needed: the checker finds a violation without it.
 func TestCheckerFindsBrokenRules(t *testing.T) {
 	for name, r := range map[string]rules{
 		"dispatch before read-back": {dispatchEarly: true},
 		"claims in memory only":     {memoryOnly: true},
-		"withdrawn before told":     {withdrawEarly: true},
-		"silence counts as no":      {ignoreSilent: true},
+		"withdrawn before reported": {withdrawEarly: true},
+		"no response counts as no":  {ignoreSilent: true},
 		"base ignored":              {ignoreBase: true},
-		"lost holder opens the key": {leaseOnly: true},
+		"lost holder frees the key": {leaseOnly: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			gen := rapid.Custom(func(rt *rapid.T) error { return history(rt, r) })
@@ -78,7 +78,7 @@
 					return
 				}
 			}
-			assert.Assert(t, false, "no broken promise found")
+			assert.Assert(t, false, "no violated invariant found")
 		})
 	}
 }
--- a/claim/checkpoint.go
+++ b/claim/checkpoint.go
@@ -8,24 +8,24 @@
 	"github.com/clementinereel/clementinereel/operation"
 )
 
-// Part is one record's share of a checkpoint: the state of a partition from
-// its records before offset Upto.
+// Part is one part of a checkpoint, stored in one record. A checkpoint holds
+// the state of a partition after all records before offset Upto.
 type Part struct {
 	Upto  logservice.Offset
 	Time  time.Time
 	Index int
 	Count int
 	Ops   []Op
-	// Maker tells apart checkpoints that were made at the same offset.
+	// Maker distinguishes checkpoints made at the same offset.
 	Maker string
-	// Operator and Reason are set on an adoption: an operator accepted that
-	// all history before this record is lost.
+	// Operator and Reason are set on an adoption: an operator accepted the
+	// loss of all history before this record.
 	Operator string
 	Reason   string
 }
 
-// Checkpoint returns the fold's state in parts of at most partSize bytes,
-// going by the estimate of Size. A fold that is not covered has none.
+// Checkpoint returns the fold's state in parts of at most partSize bytes, as
+// estimated by Op.size. It returns nil if the fold is not covered.
 func (f *Fold) Checkpoint(maker string, partSize int64) []Part {
 	if !f.covered {
 		return nil
@@ -51,16 +51,16 @@
 	return parts
 }
 
-// Adoption returns the record by which an operator accepts that whatever was
-// recorded before it is lost. Keys of that time may run again. Every fold
-// forgets them, so that all recorders go on saying the same.
+// Adoption returns a checkpoint part by which an operator accepts the loss of
+// all earlier records. Keys recorded before it may run again. Every fold drops
+// them, so that all recorders keep the same state.
 func Adoption(operator, reason string) Part {
 	return Part{Count: 1, Maker: "operator", Operator: operator, Reason: reason}
 }
 
-func (p *Part) adoption() bool { return p.Operator != "" }
+func (p *Part) isAdoption() bool { return p.Operator != "" }
 
-// sorted returns the unexpired operations by key.
+// sorted returns the unexpired operations, ordered by key.
 func (f *Fold) sorted() []*Op {
 	list := make([]*Op, 0, len(f.ops))
 	for _, op := range f.ops {
@@ -72,7 +72,7 @@
 	return list
 }
 
-// load starts the fold from a complete checkpoint.
+// load replaces the fold's state with a complete checkpoint.
 func (f *Fold) load(parts []*Part) {
 	f.ops = map[operation.Key]*Op{}
 	f.open = map[operation.Key]*Op{}
@@ -91,8 +91,8 @@
 	}
 }
 
-// CheckpointDue tells whether the records since the last checkpoint need a
-// new one, at a wall-clock time near the log's.
+// CheckpointDue reports whether the last checkpoint is older than interval. The
+// wall clock now must be close to the log's clock.
 func (f *Fold) CheckpointDue(now time.Time, interval time.Duration) bool {
 	if !f.covered || f.next == 0 {
 		return false
@@ -106,7 +106,7 @@
 
 // partSet collects the parts of checkpoints.
 type partSet struct {
-	// keep is set while the parts' operations are needed.
+	// keep is set while the fold still needs the parts' operations.
 	keep bool
 	key  partKey
 	seen int
@@ -118,9 +118,9 @@
 	upto  logservice.Offset
 }
 
-// add takes a part and tells whether its checkpoint is now complete. Parts of
-// one checkpoint come in order; another maker's may come between, in which
-// case the later maker's counts.
+// add records a part and reports whether its checkpoint is now complete. The
+// parts of a checkpoint arrive in order. If another maker starts a checkpoint
+// in between, the earlier one is discarded.
 func (s *partSet) add(p *Part) bool {
 	key := partKey{p.Maker, p.Upto}
 	if p.Index == 0 {
--- a/claim/codec.go
+++ b/claim/codec.go
@@ -14,7 +14,7 @@
 	"github.com/clementinereel/clementinereel/peer/peerv1"
 )
 
-// Encode returns the data of one record with entries.
+// Encode returns the encoded record that holds the entries.
 func Encode(entries []Entry) []byte {
 	rec := &peerv1.ClaimRecord{}
 	for i := range entries {
@@ -23,7 +23,7 @@
 	return marshal(rec)
 }
 
-// EncodePart returns the data of one record with a part of a checkpoint.
+// EncodePart returns the encoded record that holds a checkpoint part.
 func EncodePart(p *Part) []byte {
 	pp := &peerv1.CheckpointPart{
 		Upto: int64(p.Upto), TimeUnixNanos: nanos(p.Time),
@@ -36,7 +36,7 @@
 	return marshal(&peerv1.ClaimRecord{Checkpoint: pp})
 }
 
-// Decode reads one record of a partition's stream.
+// Decode decodes one record of a partition's stream.
 func Decode(r logservice.Record) (Record, error) {
 	out := Record{Offset: r.Offset, Time: r.Time}
 	rec := &peerv1.ClaimRecord{}
@@ -72,12 +72,12 @@
 	return part
 }
 
-// HolderProto returns the holder as messages carry it.
+// HolderProto converts a holder to its protobuf message.
 func HolderProto(h fleet.Holder) *peerv1.OperationHolder {
 	return &peerv1.OperationHolder{Instance: string(h.Instance), Incarnation: int64(h.Incarnation)}
 }
 
-// HolderOf reads a holder from a message.
+// HolderOf converts a protobuf message to a holder.
 func HolderOf(h *peerv1.OperationHolder) fleet.Holder {
 	return fleet.Holder{
 		Instance:    fleet.InstanceID(h.GetInstance()),
@@ -85,7 +85,7 @@
 	}
 }
 
-// EntryProto returns the entry as messages and records carry it.
+// EntryProto converts an entry to its protobuf message.
 func EntryProto(e *Entry) *peerv1.ClaimEntry {
 	return &peerv1.ClaimEntry{
 		Kind: uint32(e.Kind), Customer: string(e.Key.Customer), Key: e.Key.Name,
@@ -97,7 +97,7 @@
 	}
 }
 
-// EntryOf reads an entry from a message or record.
+// EntryOf converts a protobuf message to an entry.
 func EntryOf(p *peerv1.ClaimEntry) Entry {
 	return Entry{
 		Kind:  Kind(p.GetKind()),
@@ -110,7 +110,7 @@
 	}
 }
 
-// OpProto returns the operation as messages and checkpoints carry it.
+// OpProto converts an operation to its protobuf message.
 func OpProto(op *Op) *peerv1.ClaimState {
 	return &peerv1.ClaimState{
 		Claim: EntryProto(&op.Entry), State: uint32(op.State),
@@ -119,7 +119,7 @@
 	}
 }
 
-// OpOf reads an operation from a message or checkpoint.
+// OpOf converts a protobuf message to an operation.
 func OpOf(p *peerv1.ClaimState) Op {
 	return Op{
 		Entry: EntryOf(p.GetClaim()), State: operation.State(p.GetState()),
@@ -128,7 +128,7 @@
 	}
 }
 
-// AnswerProto returns the answer as messages and records carry it; nil for nil.
+// AnswerProto converts a response to its protobuf message; nil stays nil.
 func AnswerProto(a *operation.Answer) *peerv1.OperationAnswer {
 	if a == nil {
 		return nil
@@ -140,7 +140,7 @@
 	}
 }
 
-// AnswerOf reads an answer from a message or record; nil for nil.
+// AnswerOf converts a protobuf message to a response; nil stays nil.
 func AnswerOf(p *peerv1.OperationAnswer) *operation.Answer {
 	if p == nil {
 		return nil
@@ -152,7 +152,7 @@
 	}
 }
 
-// HeaderProto returns header fields in the order of their names.
+// HeaderProto converts a header to protobuf messages, sorted by name.
 func HeaderProto(h http.Header) []*peerv1.HeaderField {
 	var fields []*peerv1.HeaderField
 	for name, values := range h {
@@ -162,7 +162,7 @@
 	return fields
 }
 
-// HeaderOf reads header fields.
+// HeaderOf converts protobuf messages to a header.
 func HeaderOf(fields []*peerv1.HeaderField) http.Header {
 	h := http.Header{}
 	for _, f := range fields {
@@ -171,7 +171,7 @@
 	return h
 }
 
-// nanos keeps the zero time apart from the epoch.
+// nanos returns t as Unix nanoseconds, and 0 for the zero time.
 func nanos(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
--- a/claim/fold.go
+++ b/claim/fold.go
@@ -17,19 +17,19 @@
 	Checkpoint *Part
 }
 
-// opOverhead estimates the memory of an Op without its variable parts, bytes.
+// opOverhead estimates the memory of an Op without its variable parts, in bytes.
 const opOverhead = 400
 
 // Fold is the state of one partition: the result of its records in order. Two
-// folds that are covered and stand at the same offset are equal.
+// folds that are covered and have the same next offset are equal.
 type Fold struct {
 	ops map[operation.Key]*Op
-	// open holds those that are live or unresolved.
+	// open holds the live and the unresolved operations.
 	open map[operation.Key]*Op
 	size int64
 	next logservice.Offset
 	// now is the latest time of the log's clock among the records; it never
-	// goes back.
+	// decreases.
 	now     time.Time
 	covered bool
 	// pending keeps records that were read before any covering checkpoint.
@@ -43,8 +43,8 @@
 	expiry map[int64][]operation.Key
 }
 
-// NewFold returns a fold that starts at the first record that the log keeps.
-// From offset 0 on the history is whole; later it needs a checkpoint.
+// NewFold returns a fold that starts at the first retained record. The
+// history is complete from offset 0; otherwise the fold needs a checkpoint.
 func NewFold(first logservice.Offset) *Fold {
 	return &Fold{
 		ops: map[operation.Key]*Op{}, open: map[operation.Key]*Op{}, next: first, first: first,
@@ -56,7 +56,7 @@
 // Next returns the offset after the last record that was applied.
 func (f *Fold) Next() logservice.Offset { return f.next }
 
-// Covered tells whether the fold knows the whole history of its keys.
+// Covered reports whether the fold has the whole history of its keys.
 func (f *Fold) Covered() bool { return f.covered }
 
 // Len returns the number of keys held.
@@ -65,7 +65,7 @@
 // Size returns an estimate of the memory held, in bytes.
 func (f *Fold) Size() int64 { return f.size }
 
-// Get returns what the stream says of a key.
+// Get returns the unexpired operation of a key.
 func (f *Fold) Get(key operation.Key) (Op, bool) {
 	op, ok := f.ops[key]
 	if !ok || op.expired(f.now) {
@@ -74,21 +74,21 @@
 	return *op, true
 }
 
-// Unresolved returns the operations that wait for an operator, by key. An
-// empty customer selects all.
+// Unresolved returns the operations that wait for an operator, ordered by
+// key. An empty customer selects all.
 func (f *Fold) Unresolved(customer fleet.CustomerID) []Op {
-	return f.pick(func(op *Op) bool {
+	return f.filterOpen(func(op *Op) bool {
 		return op.Unresolved() && (customer == "" || customer == op.Key.Customer)
 	})
 }
 
-// Live returns the claims without an outcome, by key.
+// Live returns the claims without an outcome, ordered by key.
 func (f *Fold) Live() []Op {
-	return f.pick(func(op *Op) bool { return op.State == operation.Claimed })
+	return f.filterOpen(func(op *Op) bool { return op.State == operation.Claimed })
 }
 
-// pick returns the open operations that a condition holds for, by key.
-func (f *Fold) pick(cond func(op *Op) bool) []Op {
+// filterOpen returns the open operations that satisfy cond, ordered by key.
+func (f *Fold) filterOpen(cond func(op *Op) bool) []Op {
 	var list []Op
 	for _, op := range f.open {
 		if cond(op) {
@@ -99,8 +99,8 @@
 	return list
 }
 
-// note keeps the index of live and unresolved operations.
-func (f *Fold) note(op *Op) {
+// updateOpen updates the index of live and unresolved operations.
+func (f *Fold) updateOpen(op *Op) {
 	if op.State == operation.Claimed || op.Unresolved() {
 		f.open[op.Key] = op
 		return
@@ -108,8 +108,8 @@
 	delete(f.open, op.Key)
 }
 
-// Apply reads the next record. Records must come in order without gaps; those
-// that were read already are skipped.
+// Apply applies the next record. Records must arrive in order without gaps;
+// those already applied are skipped.
 func (f *Fold) Apply(r Record) {
 	if r.Offset < f.next {
 		return
@@ -120,7 +120,7 @@
 	f.next = r.Offset + 1
 	if !f.covered {
 		f.pending = append(f.pending, r)
-		f.cover(r)
+		f.tryCover(r)
 		return
 	}
 	f.applyRecord(r)
@@ -139,7 +139,7 @@
 	if r.Checkpoint == nil {
 		return
 	}
-	if r.Checkpoint.adoption() {
+	if r.Checkpoint.isAdoption() {
 		f.load(nil)
 		f.checkpointed = f.now
 		return
@@ -149,15 +149,15 @@
 	}
 }
 
-// cover looks whether a record completes a checkpoint from which the fold can
-// start, and if so starts there and applies what was read since.
-func (f *Fold) cover(r Record) {
+// tryCover checks whether a record completes a checkpoint from which the fold
+// can start. If so, it loads the checkpoint and applies the records after it.
+func (f *Fold) tryCover(r Record) {
 	if r.Checkpoint == nil {
 		return
 	}
 	upto := r.Checkpoint.Upto
 	switch {
-	case r.Checkpoint.adoption():
+	case r.Checkpoint.isAdoption():
 		upto = r.Offset
 	case !f.parts.add(r.Checkpoint) || upto < f.first:
 		return
@@ -175,8 +175,8 @@
 	f.checkpointed = f.now
 }
 
-// move applies an event that the caller has found legal.
-func (f *Fold) move(op *Op, ev operation.Event, e *Entry) {
+// transition applies an event that the caller has checked to be valid.
+func (f *Fold) transition(op *Op, ev operation.Event, e *Entry) {
 	next, err := op.State.Next(ev)
 	if err != nil {
 		panic("claim: " + err.Error())
@@ -189,7 +189,7 @@
 		op.Target = e.Target
 	}
 	f.size += op.size()
-	f.note(op)
+	f.updateOpen(op)
 	if next != operation.Unknown {
 		f.expire(op)
 	}
@@ -198,7 +198,7 @@
 func (f *Fold) put(op *Op) {
 	f.ops[op.Key] = op
 	f.size += op.size()
-	f.note(op)
+	f.updateOpen(op)
 }
 
 func (f *Fold) remove(op *Op) {
@@ -215,14 +215,14 @@
 	return int64(n)
 }
 
-// expire notes when an operation may be forgotten.
+// expire schedules the removal of an operation.
 func (f *Fold) expire(op *Op) {
 	minute := op.Decided.Add(op.Window).Unix()/60 + 1
 	f.expiry[minute] = append(f.expiry[minute], op.Key)
 }
 
-// Sweep drops the operations whose repeat window is over. It changes memory
-// alone, not what the fold says.
+// Sweep drops the operations whose repeat window is over. It only frees
+// memory; the results of the fold do not change.
 func (f *Fold) Sweep() {
 	for minute, keys := range f.expiry {
 		if minute*60 >= f.now.Unix() {
@@ -237,8 +237,7 @@
 	}
 }
 
-// Verdict returns what the stream says to the holder of a claim that has been
-// read.
+// Verdict returns the verdict on a claim that has been read from the stream.
 func (f *Fold) Verdict(id ID, key operation.Key, digest operation.Digest) (Verdict, Op) {
 	op, ok := f.Get(key)
 	switch {
--- a/claim/fold_entry.go
+++ b/claim/fold_entry.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// claim lets the first claim for a free key win. A key is free if it has no
-// operation, or if the last was withdrawn before the request arrived.
+// claim records the first claim for a free key as the winner. A key is free if
+// it has no operation, or if the last was withdrawn before the request arrived.
 func (f *Fold) claim(op *Op, e *Entry) {
 	var withdrawn logservice.Offset
 	if op != nil {
@@ -43,8 +43,8 @@
 	f.put(&Op{Entry: *e, State: operation.Claimed, Claimed: f.now, Withdrawn: withdrawn})
 }
 
-// withdraw opens the key. Where the withdrawal arrives before its claim, it
-// stands in the claim's place.
+// withdraw frees the key. A withdrawal that arrives before its claim is stored
+// in place of the claim.
 func (f *Fold) withdraw(op *Op, e *Entry, at logservice.Offset) {
 	if op == nil {
 		f.put(&Op{Entry: *e, State: operation.NotRun, Claimed: f.now, Decided: f.now, Withdrawn: at + 1})
@@ -56,9 +56,9 @@
 	}
 	switch {
 	case op.State == operation.Claimed:
-		f.move(op, operation.Abandon, e)
+		f.transition(op, operation.Abandon, e)
 	case op.State == operation.Unknown && op.Presumed:
-		f.move(op, operation.Deny, e)
+		f.transition(op, operation.Deny, e)
 	default:
 		f.contradict(op, operation.SettledCompleted)
 		return
@@ -72,11 +72,11 @@
 	}
 	switch op.State {
 	case operation.Claimed:
-		// The stream keeps no entry for the dispatch; the holder does.
+		// The dispatch is tracked by the holder, not in the stream.
 		op.State = operation.Dispatched
-		f.move(op, operation.Complete, e)
+		f.transition(op, operation.Complete, e)
 	case operation.Unknown:
-		f.move(op, operation.Report, e)
+		f.transition(op, operation.Report, e)
 	default:
 		f.contradict(op, operation.SettledNotRun)
 	}
@@ -88,10 +88,10 @@
 	}
 	switch {
 	case op.State == operation.Claimed:
-		f.move(op, operation.Lose, e)
+		f.transition(op, operation.Lose, e)
 		op.Presumed = e.Presumed
 	case op.State == operation.Unknown && op.Presumed && !e.Presumed:
-		// The holder itself confirms it, and names the target.
+		// The holder confirms the unknown outcome and names the target.
 		op.Presumed = false
 		op.Target = e.Target
 	}
@@ -103,14 +103,14 @@
 	}
 	op.Operator = e.Operator
 	op.Reason = e.Reason
-	f.move(op, ev, e)
+	f.transition(op, ev, e)
 }
 
-// contradict marks an operation that an operator settled one way and whose
-// holder reports the other.
+// contradict marks an operation that an operator settled and whose holder
+// reports the opposite outcome.
 func (f *Fold) contradict(op *Op, settled operation.State) {
 	if op.State == settled {
 		op.Contradicted = true
-		f.note(op)
+		f.updateOpen(op)
 	}
 }
--- a/claim/fold_test.go
+++ b/claim/fold_test.go
@@ -38,7 +38,7 @@
 	return &a
 }
 
-// apply reads entries, one record each, a second apart.
+// apply applies entries, one record each, one second apart.
 func apply(f *Fold, entries ...Entry) {
 	for _, e := range entries {
 		f.Apply(Record{Offset: f.Next(), Time: t0.Add(time.Duration(f.Next()) * time.Second), Entries: []Entry{e}})
@@ -56,17 +56,17 @@
 	}{
 		{"first wins", []Entry{claimOf(cx, 0), claimOf(cy, 0)}, cx, operation.Claimed},
 		{"twice counts once", []Entry{claimOf(cx, 0), claimOf(cx, 0), claimOf(cy, 1)}, cx, operation.Claimed},
-		{"withdrawal opens for later requests", []Entry{claimOf(cx, 0), about(Withdraw, cx), claimOf(cy, 2)}, cy, operation.Claimed},
+		{"withdrawal frees the key for later requests", []Entry{claimOf(cx, 0), about(Withdraw, cx), claimOf(cy, 2)}, cy, operation.Claimed},
 		{"withdrawal defeats earlier requests", []Entry{claimOf(cx, 0), about(Withdraw, cx), claimOf(cy, 1)}, cx, operation.NotRun},
 		{"withdrawal before its claim", []Entry{about(Withdraw, cx), claimOf(cx, 0)}, cx, operation.NotRun},
 		{"late copy of a withdrawn claim", []Entry{claimOf(cx, 0), about(Withdraw, cx), claimOf(cy, 2), about(Withdraw, cy), claimOf(cx, 0)}, cy, operation.NotRun},
 		{"completed stays", []Entry{claimOf(cx, 0), about(Complete, cx), about(Withdraw, cx), about(Lose, cx)}, cx, operation.Completed},
 		{"loser's outcome is ignored", []Entry{claimOf(cx, 0), claimOf(cy, 0), about(Complete, cy), about(Withdraw, cy)}, cx, operation.Claimed},
-		{"holder's report outranks presumption", []Entry{claimOf(cx, 0), deny, about(Complete, cx)}, cx, operation.Completed},
-		{"holder's denial outranks presumption", []Entry{claimOf(cx, 0), deny, about(Withdraw, cx)}, cx, operation.NotRun},
+		{"holder's report overrides presumption", []Entry{claimOf(cx, 0), deny, about(Complete, cx)}, cx, operation.Completed},
+		{"holder's withdrawal overrides presumption", []Entry{claimOf(cx, 0), deny, about(Withdraw, cx)}, cx, operation.NotRun},
 		{"holder's own unknown cannot be withdrawn", []Entry{claimOf(cx, 0), about(Lose, cx), about(Withdraw, cx)}, cx, operation.Unknown},
 		{"settled once", []Entry{claimOf(cx, 0), deny, about(SettleNotRun, cx), about(SettleCompleted, cx)}, cx, operation.SettledNotRun},
-		{"settled not run stays shut", []Entry{claimOf(cx, 0), deny, about(SettleNotRun, cx), claimOf(cy, 9)}, cx, operation.SettledNotRun},
+		{"settled not run stays closed", []Entry{claimOf(cx, 0), deny, about(SettleNotRun, cx), claimOf(cy, 9)}, cx, operation.SettledNotRun},
 		{"live claims are not settled", []Entry{claimOf(cx, 0), about(SettleNotRun, cx)}, cx, operation.Claimed},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -89,7 +89,7 @@
 	assert.Equal(t, len(f.Unresolved("other")), 0)
 }
 
-// Decided keys are free again after their window; live and unknown ones never.
+// Decided keys are free again after their window; live and unknown ones never are.
 func TestWindow(t *testing.T) {
 	late := Record{Offset: 2, Time: t0.Add(2 * hour), Entries: []Entry{claimOf(cy, 0)}}
 	for _, tc := range []struct {
@@ -118,14 +118,14 @@
 	assert.Equal(t, f.Size(), empty.Size())
 }
 
-// A fold that starts where records have expired decides nothing before it has
-// read a checkpoint that reaches back far enough, in all its parts.
+// A fold that starts after expired records stays uncovered until it has read
+// all parts of a checkpoint that reaches back far enough.
 func TestCheckpointCovers(t *testing.T) {
-	whole := NewFold(0)
+	complete := NewFold(0)
 	second := claimOf(cy, 0)
 	second.Key.Name = "quote-2"
-	apply(whole, claimOf(cx, 0), second)
-	parts := whole.Checkpoint("m", 1)
+	apply(complete, claimOf(cx, 0), second)
+	parts := complete.Checkpoint("m", 1)
 	assert.Equal(t, len(parts), 2)
 	records := []Record{
 		{Offset: 2, Time: t0, Entries: []Entry{about(Complete, cx)}},
@@ -137,12 +137,12 @@
 	f.Apply(Record{Offset: 1, Time: t0, Entries: []Entry{second}})
 	for i, r := range records {
 		f.Apply(r)
-		whole.Apply(r)
+		complete.Apply(r)
 		assert.Equal(t, f.Covered(), i == 3)
 	}
 	for _, k := range []operation.Key{key, second.Key} {
 		a, _ := f.Get(k)
-		b, _ := whole.Get(k)
+		b, _ := complete.Get(k)
 		assert.DeepEqual(t, a, b)
 	}
 	tooLate := NewFold(3)
@@ -152,13 +152,13 @@
 	assert.Assert(t, !tooLate.Covered(), "record 2 is missing")
 }
 
-// After an adoption all folds say the same, whatever they knew before.
+// After an adoption all folds have the same state, whatever they read before.
 func TestAdoptionForgetsEverywhere(t *testing.T) {
-	whole, fresh := NewFold(0), NewFold(1)
-	apply(whole, claimOf(cx, 0), claimOf(cy, 0))
+	complete, fresh := NewFold(0), NewFold(1)
+	apply(complete, claimOf(cx, 0), claimOf(cy, 0))
 	adoption := Adoption("ilze", "log was purged")
 	fresh.Apply(Record{Offset: 1, Time: t0, Entries: []Entry{claimOf(cy, 0)}})
-	for _, f := range []*Fold{whole, fresh} {
+	for _, f := range []*Fold{complete, fresh} {
 		f.Apply(Record{Offset: 2, Time: t0, Checkpoint: &adoption})
 		assert.Assert(t, f.Covered())
 		_, ok := f.Get(key)
--- a/claim/holder.go
+++ b/claim/holder.go
@@ -10,21 +10,21 @@
 
 // TableConfig bounds an instance's table of attempts.
 type TableConfig struct {
-	// MaxAttempts bounds the attempts held, those whose outcome is not yet
-	// in the log included. Default 20000. Beyond it new ones are refused.
+	// MaxAttempts bounds the attempts held, including those whose outcome
+	// is not yet in the log. Default 20000. Beyond it new ones are refused.
 	MaxAttempts int
-	// MaxSize bounds the memory of answers that are not yet in the log, in
+	// MaxSize bounds the memory of responses that are not yet in the log, in
 	// bytes. Default 32 MiB. Beyond it new attempts are refused.
 	MaxSize int64
-	// HoldOff is how long an instance begins no attempt for a key after it
-	// answered a survey, or any attempt after it made itself known to
-	// another one. Default 5 s.
+	// HoldOff is how long an instance starts no attempt for a key after it
+	// responded to a survey, and no attempt at all after it announced itself
+	// to another instance. Default 5 s.
 	HoldOff time.Duration
-	// TellWithin is how long after the start of its survey an instance may
-	// still tell not run. Default 1 s; far less than HoldOff.
-	TellWithin time.Duration
-	// MaxHolds bounds the keys held off. Default 50000. Beyond it surveys are
-	// answered as live, which makes the asker say unknown.
+	// NotRunTimeout is how long after the start of a survey an instance may
+	// still report "not run". Default 1 s; it must be far below HoldOff.
+	NotRunTimeout time.Duration
+	// MaxHolds bounds the keys held off. Default 50000. Beyond it an
+	// instance reports the key as live, so the requester reports unknown.
 	MaxHolds int
 }
 
@@ -33,7 +33,7 @@
 	setDefault(&c.MaxAttempts, 20_000)
 	setDefault(&c.MaxSize, 32<<20)
 	setDefault(&c.HoldOff, 5*time.Second)
-	setDefault(&c.TellWithin, time.Second)
+	setDefault(&c.NotRunTimeout, time.Second)
 	setDefault(&c.MaxHolds, 50_000)
 	return c
 }
@@ -44,7 +44,8 @@
 	ID     ID
 	Key    operation.Key
 	Digest operation.Digest
-	// Base is how far the instance knew the stream when the request arrived.
+	// Base is the offset up to which the instance had read the stream when
+	// the request arrived.
 	Base    logservice.Offset
 	Window  time.Duration
 	Service fleet.ServiceID
@@ -54,19 +55,19 @@
 	op     operation.Operation
 	target fleet.TargetID
 	answer *operation.Answer
-	// exposed is set while the claim may be in the log or get there.
+	// exposed is set while the claim may be in the log or may still reach it.
 	exposed bool
 	// won is set once the claim was found to stand in the log.
 	won bool
 }
 
-// State returns where the attempt stands.
+// State returns the attempt's state.
 func (a *Attempt) State() operation.State { return a.op.State() }
 
-// Answer returns the target's whole answer, nil before Completed.
+// Answer returns the target's complete response, or nil before Completed.
 func (a *Attempt) Answer() *operation.Answer { return a.answer }
 
-// Fenced tells whether the attempt's claim stands in the log, so that nobody
+// Fenced reports whether the attempt's claim stands in the log, so that nobody
 // else can win the key before the attempt is withdrawn.
 func (a *Attempt) Fenced() bool { return a.won }
 
@@ -78,19 +79,19 @@
 	}
 }
 
-// Admission is what Begin says to a request.
+// Admission is the result of Begin.
 type Admission uint8
 
 const (
 	// Begun means that a new attempt may claim the key.
 	Begun Admission = iota + 1
-	// Joined means that the instance has an attempt for the key already.
+	// Joined means that the instance already has an attempt for the key.
 	Joined
-	// OtherBody means that it has one for another request.
-	OtherBody
-	// HeldOff means that a survey keeps the key from being begun.
+	// DifferentRequest means that the attempt for the key is for another request.
+	DifferentRequest
+	// HeldOff means that a hold-off forbids new attempts for the key.
 	HeldOff
-	// Full means that the table has no room.
+	// Full means that the table is full or sealed.
 	Full
 )
 
@@ -104,12 +105,12 @@
 	size   int64
 	holds  map[operation.Key]time.Time
 	sealed bool
-	// opens is when the first attempt may begin; zero until Greeted.
-	opens time.Time
+	// opensAt is when the first attempt may begin; zero until Announced.
+	opensAt time.Time
 }
 
 // NewTable returns the table of a process. It begins no attempt before
-// HoldOff has passed since Greeted.
+// HoldOff has passed since Announced.
 func NewTable(cfg TableConfig, self fleet.Holder) *Table {
 	return &Table{
 		cfg: cfg.WithDefaults(), self: self,
@@ -123,32 +124,32 @@
 // Config returns the bounds with their defaults.
 func (t *Table) Config() TableConfig { return t.cfg }
 
-// Greeted notes that another instance knows this one, or that there is none.
-// A survey that began before may not have asked here, and its result may be
-// told for TellWithin; one that begins later will ask.
-func (t *Table) Greeted(now time.Time) {
-	if t.opens.IsZero() {
-		t.opens = now.Add(t.cfg.HoldOff)
+// Announced records that another instance has this one in its view, or that no
+// other exists. An earlier survey may have missed this instance, and its result
+// may be reported for NotRunTimeout; later surveys query this instance.
+func (t *Table) Announced(now time.Time) {
+	if t.opensAt.IsZero() {
+		t.opensAt = now.Add(t.cfg.HoldOff)
 	}
 }
 
-// Open tells whether attempts may begin.
+// Open reports whether attempts may begin.
 func (t *Table) Open(now time.Time) bool {
-	return !t.opens.IsZero() && !now.Before(t.opens) && !t.sealed
+	return !t.opensAt.IsZero() && !now.Before(t.opensAt) && !t.sealed
 }
 
 // Seal refuses all further attempts.
 func (t *Table) Seal() { t.sealed = true }
 
-// Begin starts an attempt for a key, or finds the one that is held.
+// Begin starts an attempt for a key or returns the existing one.
 func (t *Table) Begin(now time.Time, plan Attempt) (*Attempt, Admission) {
 	if a := t.byKey[plan.Key]; a != nil {
 		if a.Digest != plan.Digest {
-			return a, OtherBody
+			return a, DifferentRequest
 		}
 		return a, Joined
 	}
-	if t.opens.IsZero() || now.Before(t.opens) || t.heldOff(now, plan.Key) {
+	if t.opensAt.IsZero() || now.Before(t.opensAt) || t.heldOff(now, plan.Key) {
 		return nil, HeldOff
 	}
 	if t.sealed || len(t.byKey) >= t.cfg.MaxAttempts || t.size >= t.cfg.MaxSize {
@@ -187,7 +188,7 @@
 	return a, true
 }
 
-// Dispatch passes a won attempt to dispatched. It is called right before the
+// Dispatch moves a winning attempt to the dispatched state. It is called right before the
 // first byte is written, and returns true at most once for an attempt: not
 // after Abandon, and not without a winning verdict for this very claim.
 func (t *Table) Dispatch(a *Attempt, v Verdict) bool {
@@ -201,7 +202,7 @@
 	return a.op.Apply(operation.Dispatch) == nil
 }
 
-// Abandon gives an attempt up for ever. It returns false if the attempt was
+// Abandon permanently gives an attempt up. It returns false if the attempt was
 // dispatched.
 func (t *Table) Abandon(a *Attempt) bool {
 	return a.op.Apply(operation.Abandon) == nil || a.op.State() == operation.NotRun
@@ -210,7 +211,8 @@
 // Fence records that an abandoned attempt's claim stands in the log.
 func (t *Table) Fence(a *Attempt) { a.won = true }
 
-// Finish records how a dispatched attempt ended. An answer is for Completed.
+// Finish records how a dispatched attempt ended. The answer is used for
+// Completed only.
 func (t *Table) Finish(a *Attempt, out fleet.Outcome, target fleet.TargetID, answer *operation.Answer) {
 	a.target = target
 	ev := operation.Lose
@@ -229,9 +231,9 @@
 	}
 }
 
-// Outcome returns the entry by which the log learns how an attempt ended, and
-// false while it has not ended. Answers of more than maxAnswer bytes are left
-// out. A withdrawal must not be sent before the caller was told not run.
+// Outcome returns the entry that records how an attempt ended, and false while
+// it has not ended. Response bodies above maxAnswer bytes are omitted. A
+// withdrawal must not be sent before "not run" was reported to the caller.
 func (t *Table) Outcome(a *Attempt, maxAnswer int) (Entry, bool) {
 	switch a.op.State() {
 	case operation.NotRun:
@@ -248,7 +250,7 @@
 	return Entry{}, false
 }
 
-// Forget drops an ended attempt: its claim lost, or its outcome was read back
+// Forget drops an ended attempt whose claim lost or whose outcome was read back
 // from the log.
 func (t *Table) Forget(a *Attempt) {
 	if t.byKey[a.Key] != a || !a.op.State().Final() {
@@ -260,8 +262,8 @@
 	}
 }
 
-// Survey answers whether the instance holds an attempt for the key that ran
-// or may still run. If not, it begins none for HoldOff.
+// Survey reports whether the instance holds an attempt for the key that ran or
+// may still run. If not, the instance starts none for HoldOff.
 func (t *Table) Survey(now time.Time, key operation.Key) (live bool) {
 	a := t.byKey[key]
 	if a != nil && a.op.State() != operation.NotRun {
@@ -277,7 +279,7 @@
 	return false
 }
 
-// sweep drops the holds that are over.
+// sweep drops the expired holds.
 func (t *Table) sweep(now time.Time) {
 	for key, until := range t.holds {
 		if !now.Before(until) {
--- a/claim/model_node_test.go
+++ b/claim/model_node_test.go
@@ -11,16 +11,16 @@
 
 var errLost = errors.New("reply lost")
 
-// track is what a process keeps beside an attempt.
+// track is the state that a process keeps for an attempt.
 type track struct {
-	a       *Attempt
-	arrived int
-	out     fleet.Outcome // to tell; 0 while open
-	until   time.Time     // not run may be told until then; zero means always
-	told    bool
-	survey  *Survey
-	runs    bool // dispatched and not finished
-	ran     bool
+	a        *Attempt
+	arrived  int
+	out      fleet.Outcome // to report; 0 while open
+	until    time.Time     // end of the time in which "not run" may be reported; zero means always
+	reported bool
+	survey   *Survey
+	runs     bool // dispatched and not finished
+	ran      bool
 }
 
 type follower struct {
@@ -39,9 +39,9 @@
 	readAt     time.Time
 	read       bool
 	paused     bool
-	greeted    bool
+	announced  bool
 	tracks     []*track
-	waits      map[*track]([]operation.Key)
+	waiting    map[*track]([]operation.Key)
 	followers  []follower
 	dones      map[Waiter]func(Reply)
 	unresolved bool
@@ -50,9 +50,9 @@
 func newNode(m *model, self fleet.Holder) *node {
 	return &node{
 		m: m, self: self, table: NewTable(TableConfig{}, self),
-		rec:   NewRecorder(RecorderConfig{MaxPending: 64}, NewFold(logservice.Offset(m.first)), m.now),
-		hist:  NewHistory(m.now, time.Minute, time.Hour),
-		waits: map[*track][]operation.Key{}, dones: map[Waiter]func(Reply){},
+		rec:     NewRecorder(RecorderConfig{MaxPending: 64}, NewFold(logservice.Offset(m.first)), m.now),
+		hist:    NewHistory(m.now, time.Minute, time.Hour),
+		waiting: map[*track][]operation.Key{}, dones: map[Waiter]func(Reply){},
 	}
 }
 
@@ -65,15 +65,15 @@
 	return nil
 }
 
-// act does one thing of the process; action is from 47 to 99.
+// act runs one action of the process; action is from 47 to 99.
 func (n *node) act(action int) {
 	m := n.m
 	switch {
 	case action < 54:
-		if n.greeted {
+		if n.announced {
 			n.arrive(operation.Key{Customer: "c", Name: string(rune('a' + m.pick(m.keys)))})
 		} else {
-			m.greet(n)
+			m.announce(n)
 		}
 	case action < 64:
 		n.appendNext()
@@ -105,17 +105,17 @@
 	case action < 86:
 		n.finish(t)
 	case action < 89:
-		n.giveUp(t)
+		n.abandon(t)
 	case action < 92:
 		n.conclude(t)
 	case action < 97:
-		n.tell(t)
+		n.respond(t)
 	default:
-		n.again(t)
+		n.resubmit(t)
 	}
 }
 
-// tick does everything that is due, without faults.
+// tick runs everything that is due, without faults.
 func (n *node) tick() {
 	n.appendNext()
 	n.readLog(1000)
@@ -127,8 +127,8 @@
 	for _, t := range append([]*track(nil), n.tracks...) {
 		n.finish(t)
 		n.conclude(t)
-		n.tell(t)
-		n.again(t)
+		n.respond(t)
+		n.resubmit(t)
 	}
 }
 
@@ -136,7 +136,7 @@
 	m := n.m
 	a, adm := n.table.Begin(m.now, Attempt{Key: key, Digest: "d", Base: n.end, Window: 24 * time.Hour})
 	if adm == HeldOff || adm == Full {
-		m.tell(key, fleet.Unknown)
+		m.recordResponse(key, fleet.Unknown)
 		return
 	}
 	if adm == Begun {
@@ -145,16 +145,16 @@
 		n.begin(t)
 	}
 	t := n.track(a)
-	if t.told {
-		m.tell(key, afterTold(t.out))
+	if t.reported {
+		m.recordResponse(key, joinedOutcome(t.out))
 		return
 	}
-	n.waits[t] = append(n.waits[t], key)
+	n.waiting[t] = append(n.waiting[t], key)
 }
 
-// afterTold is the answer for one who joins an attempt that was told already:
-// its withdrawal may be on the way, so not run cannot be said again.
-func afterTold(out fleet.Outcome) fleet.Outcome {
+// joinedOutcome returns the outcome for a request that joins an attempt already
+// reported: its withdrawal may be in flight, so "not run" must not be repeated.
+func joinedOutcome(out fleet.Outcome) fleet.Outcome {
 	if out == fleet.Completed {
 		return out
 	}
@@ -176,7 +176,7 @@
 	n.send(t.a.Entry(Claim), func(r Reply) { n.resolve(t, r) })
 }
 
-// send hands an entry to some recorder; the reply comes back as a message.
+// send submits an entry to a random recorder; the reply arrives as a message.
 func (n *node) send(e Entry, done func(Reply)) {
 	m := n.m
 	to := m.nodes[m.pick(len(m.nodes))]
@@ -202,7 +202,7 @@
 	if _, held := n.table.Find(t.a.ID, t.a.Key); !held {
 		return
 	}
-	n.m.note("%s hears %s, op %s %s", t.a.ID, r.Verdict, r.Op.State, r.Op.Claim)
+	n.m.note("%s receives %s, op %s %s", t.a.ID, r.Verdict, r.Op.State, r.Op.Claim)
 	switch n.table.Resolve(t.a, r.Verdict, r.Op) {
 	case StepDispatch:
 		n.dispatched(t)
@@ -231,7 +231,7 @@
 		return
 	}
 	t.ran = true
-	n.m.ran(t.a.Key, t.arrived)
+	n.m.recordRun(t.a.Key, t.arrived)
 }
 
 func (n *node) finish(t *track) {
@@ -249,8 +249,8 @@
 	n.table.Finish(t.a, t.out, "t1", &operation.Answer{Status: 200})
 }
 
-// giveUp abandons an open attempt and asks the others.
-func (n *node) giveUp(t *track) {
+// abandon gives an open attempt up and starts a survey.
+func (n *node) abandon(t *track) {
 	if t.out != 0 || t.survey != nil || !n.table.Abandon(t.a) {
 		return
 	}
@@ -262,10 +262,10 @@
 }
 
 func (n *node) ask(t *track) {
-	for _, h := range t.survey.Ask() {
+	for _, h := range t.survey.Unanswered() {
 		n.m.post(h, func(x *node) {
 			ans := x.answer(t.a.Key)
-			n.m.note("%s asks %s at %s: live %v view %v", t.a.ID, x.self, n.m.now, ans.Live, ans.View)
+			n.m.note("%s queries %s at %s: live %v view %v", t.a.ID, x.self, n.m.now, ans.Live, ans.View)
 			n.m.post(n.self, func(*node) { t.survey.Add(ans) })
 		})
 	}
@@ -282,33 +282,33 @@
 	}
 }
 
-// conclude ends a survey.
+// conclude applies the result of a survey.
 func (n *node) conclude(t *track) {
 	if t.survey == nil || t.out != 0 {
 		return
 	}
-	if len(t.survey.Ask()) > 0 && n.m.chance(60) {
+	if len(t.survey.Unanswered()) > 0 && n.m.chance(60) {
 		n.ask(t)
 		return
 	}
 	if n.m.rules.ignoreSilent {
-		for _, h := range t.survey.Ask() {
+		for _, h := range t.survey.Unanswered() {
 			t.survey.Add(SurveyAnswer{From: h})
 		}
 	}
-	f := t.survey.Find(n.m.now, n.table.Config().TellWithin)
+	f := t.survey.Result(n.m.now, n.table.Config().NotRunTimeout)
 	n.m.note("%s ends survey: %+v", t.a.ID, f)
 	t.out = fleet.Unknown
 	if f.NotRun {
 		t.out = fleet.NotRun
 		if !f.Fenced {
-			t.until = t.survey.started.Add(n.table.Config().TellWithin)
+			t.until = t.survey.started.Add(n.table.Config().NotRunTimeout)
 		}
 	}
 }
 
-// tell answers those who wait for an attempt.
-func (n *node) tell(t *track) {
+// respond sends the outcome to the callers that wait for an attempt.
+func (n *node) respond(t *track) {
 	if t.out == 0 {
 		return
 	}
@@ -316,17 +316,17 @@
 	if out == fleet.NotRun && !t.until.IsZero() && n.m.now.After(t.until) {
 		out = fleet.Unknown
 	}
-	for _, key := range n.waits[t] {
-		n.m.tell(key, out)
+	for _, key := range n.waiting[t] {
+		n.m.recordResponse(key, out)
 	}
-	delete(n.waits, t)
-	t.told = true
+	delete(n.waiting, t)
+	t.reported = true
 }
 
-// again submits what has not been read back: an open claim or an outcome.
-func (n *node) again(t *track) {
+// resubmit submits the claim or outcome that has not been read back.
+func (n *node) resubmit(t *track) {
 	if _, held := n.table.Find(t.a.ID, t.a.Key); !held {
-		if t.told {
+		if t.reported {
 			n.forget(t)
 		}
 		return
@@ -335,7 +335,7 @@
 	early := n.m.rules.withdrawEarly && ended
 	switch {
 	case n.m.rules.memoryOnly:
-	case ended && (t.told || early || e.Kind != Withdraw):
+	case ended && (t.reported || early || e.Kind != Withdraw):
 		n.send(e, func(Reply) {
 			n.table.Forget(t.a)
 		})
@@ -354,14 +354,14 @@
 }
 
 func (n *node) followAll(t *track, claim ID) {
-	for _, key := range n.waits[t] {
+	for _, key := range n.waiting[t] {
 		n.followers = append(n.followers, follower{key, claim})
 	}
-	delete(n.waits, t)
-	t.told = true
+	delete(n.waiting, t)
+	t.reported = true
 }
 
-// poll asks a recorder what became of the claim that a caller follows.
+// poll queries a recorder for the outcome of the claim that a caller follows.
 func (n *node) poll(i int) {
 	f := n.followers[i]
 	r := n.m.nodes[n.m.pick(len(n.m.nodes))]
@@ -376,6 +376,6 @@
 	if op.State == operation.Completed {
 		out = fleet.Completed
 	}
-	n.m.tell(f.key, out)
+	n.m.recordResponse(f.key, out)
 	n.followers = append(n.followers[:i], n.followers[i+1:]...)
 }
--- a/claim/model_recorder_test.go
+++ b/claim/model_recorder_test.go
@@ -9,7 +9,7 @@
 	}
 }
 
-// readLog reads up to some records and sends what they settle.
+// readLog reads up to limit records and sends the resulting replies.
 func (n *node) readLog(limit int) {
 	m := n.m
 	if m.logDown {
@@ -44,7 +44,8 @@
 	}
 }
 
-// presume records that the holders of live claims are gone.
+// presume submits presumed unknown outcomes for live claims of ended holders,
+// or of any holder if wrongly is set.
 func (n *node) presume(wrongly bool) {
 	for _, op := range n.rec.Fold().Live() {
 		if !wrongly && !n.hist.Superseded(n.m.now, op.Claim.Holder) {
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -12,55 +12,55 @@
 	"github.com/clementinereel/clementinereel/operation"
 )
 
-// rules switches rules of the protocol off, to show that the model notices.
+// rules disables protocol rules, to show that the model detects violations.
 type rules struct {
 	dispatchEarly bool // dispatch before the claim was read back
-	memoryOnly    bool // claims in the instance's memory alone
-	withdrawEarly bool // open the key before the caller was told not run
-	ignoreSilent  bool // survey: those who do not answer hold nothing
-	ignoreBase    bool // claims of any age win a key that was opened
-	leaseOnly     bool // a presumed loss opens the key for others
+	memoryOnly    bool // claims only in the instance's memory
+	withdrawEarly bool // free the key before "not run" was reported
+	ignoreSilent  bool // survey: processes that do not respond hold nothing
+	ignoreBase    bool // claims of any age win a freed key
+	leaseOnly     bool // a presumed loss frees the key for others
 }
 
-// message is delivered to one process, or lost with it.
+// message is delivered to one process, or lost if that process ended.
 type message struct {
 	to    fleet.Holder
 	apply func(n *node)
 }
 
-// flight is an append whose effect or reply is still to come.
-type flight struct {
+// delayedAppend is an append that has not taken effect yet.
+type delayedAppend struct {
 	n     *node
 	rec   Record
 	batch uint64
 }
 
-// model is a fleet of processes with a log, under faults drawn by rapid. It
-// checks the promises at each run and each answer.
+// model is a fleet of processes with a log, with faults drawn from a
+// seed. It checks the invariants at each run and each response.
 type model struct {
-	rnd     *rand.Rand
-	rules   rules
-	now     time.Time
-	step    int
-	log     []Record
-	first   int
-	nodes   []*node
-	listed  []fleet.Holder
-	net     []message
-	flights []flight
-	logDown bool
-	healed  bool
-	inc     fleet.Incarnation
-	keys    int
-	runs    map[operation.Key]int
-	toldAt  map[operation.Key]int
-	answers map[operation.Key]fleet.Outcome
-	tracing bool
-	trace   []string
-	err     error
+	rnd         *rand.Rand
+	rules       rules
+	now         time.Time
+	step        int
+	log         []Record
+	first       int
+	nodes       []*node
+	listed      []fleet.Holder
+	net         []message
+	delayed     []delayedAppend
+	logDown     bool
+	faultsEnded bool
+	inc         fleet.Incarnation
+	keys        int
+	runs        map[operation.Key]int
+	reportedAt  map[operation.Key]int
+	answers     map[operation.Key]fleet.Outcome
+	tracing     bool
+	trace       []string
+	err         error
 }
 
-// note keeps a line for the report of a broken promise.
+// note adds a line to the trace of a violated invariant.
 func (m *model) note(format string, args ...any) {
 	if !m.tracing {
 		return
@@ -71,7 +71,7 @@
 func newModel(seed uint64, r rules, tracing bool) *model {
 	m := &model{
 		rnd: rand.New(rand.NewPCG(seed, 0)), rules: r, tracing: tracing, now: time.Unix(1_000_000, 0),
-		runs: map[operation.Key]int{}, toldAt: map[operation.Key]int{},
+		runs: map[operation.Key]int{}, reportedAt: map[operation.Key]int{},
 		answers: map[operation.Key]fleet.Outcome{},
 	}
 	m.keys = 1 + m.pick(2)
@@ -79,9 +79,9 @@
 		m.nodes = append(m.nodes, m.start(i))
 	}
 	for _, n := range m.nodes {
-		n.greeted = true
+		n.announced = true
 		n.hist.Observe(m.now, m.listed)
-		n.table.Greeted(m.now.Add(-time.Minute))
+		n.table.Announced(m.now.Add(-time.Minute))
 	}
 	return m
 }
@@ -101,8 +101,8 @@
 	}
 }
 
-// seeds draws 60 bits evenly; rapid's own ranges prefer small numbers, which
-// would repeat the same histories.
+// seeds draws 60 uniform bits. The integer generators of rapid prefer small
+// numbers, which would repeat the same histories.
 var seeds = rapid.Custom(func(rt *rapid.T) uint64 {
 	var v uint64
 	for range 60 {
@@ -116,34 +116,34 @@
 
 func (m *model) pick(n int) int { return m.rnd.IntN(n) }
 
-// chance is false once the faults have ended.
+// chance returns true with the given probability, and false after the faults.
 func (m *model) chance(percent int) bool {
-	return !m.healed && m.pick(100) < percent
+	return !m.faultsEnded && m.pick(100) < percent
 }
 
-// ran is told of each run at the target, with the arrival of its request.
-func (m *model) ran(key operation.Key, arrived int) {
+// recordRun checks a run at the target; arrived is the step of its request.
+func (m *model) recordRun(key operation.Key, arrived int) {
 	m.runs[key]++
 	m.note("%s ran, arrived %d", key.Name, arrived)
 	if m.runs[key] > 1 {
 		m.fail("%s ran twice", key.Name)
 	}
-	if t, ok := m.toldAt[key]; ok && arrived <= t {
-		m.fail("%s ran for a request of step %d after not run was told at %d", key.Name, arrived, t)
+	if t, ok := m.reportedAt[key]; ok && arrived <= t {
+		m.fail("%s ran for a request of step %d after not run was reported at %d", key.Name, arrived, t)
 	}
 }
 
-// tell is told of each answer to a caller.
-func (m *model) tell(key operation.Key, out fleet.Outcome) {
+// recordResponse checks a response to a caller.
+func (m *model) recordResponse(key operation.Key, out fleet.Outcome) {
 	switch {
 	case out == fleet.NotRun && m.runs[key] > 0:
-		m.fail("%s was told not run after it ran", key.Name)
+		m.fail("%s was reported not run after it ran", key.Name)
 	case out == fleet.Completed && m.runs[key] == 0:
-		m.fail("%s was told completed and never ran", key.Name)
+		m.fail("%s was reported completed and never ran", key.Name)
 	}
-	m.note("%s told %s", key.Name, out)
+	m.note("%s reported %s", key.Name, out)
 	if out == fleet.NotRun {
-		m.toldAt[key] = m.step
+		m.reportedAt[key] = m.step
 	}
 	m.answers[key] = out
 }
@@ -186,17 +186,17 @@
 	}
 }
 
-// append starts an append; its fate is drawn.
+// append starts an append with a random result.
 func (m *model) append(n *node, batch uint64, rec Record) {
 	fate := 0
-	if !m.healed {
+	if !m.faultsEnded {
 		fate = m.pick(10)
 	}
 	switch {
 	case m.logDown || fate == 9:
 		n.rec.Appended(m.now, batch, logservice.ErrRefused)
 	case fate == 8: // late effect, reply lost
-		m.flights = append(m.flights, flight{n, rec, batch})
+		m.delayed = append(m.delayed, delayedAppend{n, rec, batch})
 		n.rec.Appended(m.now, batch, errLost)
 	case fate == 7: // reply lost
 		m.land(rec)
@@ -217,15 +217,15 @@
 }
 
 func (m *model) landLate() {
-	if len(m.flights) == 0 || m.logDown {
+	if len(m.delayed) == 0 || m.logDown {
 		return
 	}
-	i := m.pick(len(m.flights))
-	m.land(m.flights[i].rec)
-	m.flights = append(m.flights[:i], m.flights[i+1:]...)
+	i := m.pick(len(m.delayed))
+	m.land(m.delayed[i].rec)
+	m.delayed = append(m.delayed[:i], m.delayed[i+1:]...)
 }
 
-// expire forgets the records before the last whole checkpoint.
+// expire drops the records before the last complete checkpoint.
 func (m *model) expire() {
 	for _, r := range m.log[m.first:] {
 		if c := r.Checkpoint; c != nil && c.Index == c.Count-1 && int(c.Upto) > m.first {
@@ -245,22 +245,22 @@
 	}
 	n := m.start(i)
 	m.nodes[i] = n
-	m.greet(n)
+	m.announce(n)
 }
 
-// greet makes a new process known to another before it takes requests.
-func (m *model) greet(n *node) {
+// announce adds a new process to the view of another one before it accepts requests.
+func (m *model) announce(n *node) {
 	w := m.nodes[m.pick(len(m.nodes))]
 	if w == n || w.paused {
 		return
 	}
-	m.note("%s greets %s at %s", n.self, w.self, m.now)
-	w.hist.Met(n.self)
-	n.greeted = true
-	n.table.Greeted(m.now)
+	m.note("%s announces itself to %s at %s", n.self, w.self, m.now)
+	w.hist.Seen(n.self)
+	n.announced = true
+	n.table.Announced(m.now)
 }
 
-// advance is one step of the history.
+// advance runs one step of the history.
 func (m *model) advance() {
 	m.step++
 	n := m.nodes[m.pick(len(m.nodes))]
@@ -296,14 +296,14 @@
 	n.act(action)
 }
 
-// heal ends the faults and lets everything run until no caller waits.
-func (m *model) heal() {
-	m.healed = true
+// endFaults stops the faults and runs all processes until no caller waits.
+func (m *model) endFaults() {
+	m.faultsEnded = true
 	m.logDown = false
 	for _, n := range m.nodes {
 		n.paused = false
-		if !n.greeted {
-			m.greet(n)
+		if !n.announced {
+			m.announce(n)
 		}
 	}
 	for range 400 {
@@ -313,18 +313,18 @@
 		}
 	}
 	for _, n := range m.nodes {
-		for t := range n.waits {
-			m.note("%s waits: state %s out %d told %v covered %v", t.a.ID, t.a.State(), t.out, t.told, n.rec.Fold().Covered())
+		for t := range n.waiting {
+			m.note("%s waits: state %s out %d told %v covered %v", t.a.ID, t.a.State(), t.out, t.reported, n.rec.Fold().Covered())
 		}
 		m.note("followers %v", n.followers)
 	}
-	m.fail("%d callers got no answer after the faults had ended; %d messages", m.waiting(), len(m.net))
+	m.fail("%d callers got no response after the faults had ended; %d messages", m.waiting(), len(m.net))
 }
 
 func (m *model) settle() {
 	m.step++
 	m.now = m.now.Add(700 * time.Millisecond)
-	for len(m.flights) > 0 {
+	for len(m.delayed) > 0 {
 		m.landLate()
 	}
 	for range len(m.net) {
@@ -340,14 +340,14 @@
 	total := 0
 	for _, n := range m.nodes {
 		total += len(n.followers)
-		for _, callers := range n.waits {
+		for _, callers := range n.waiting {
 			total += len(callers)
 		}
 	}
 	return total
 }
 
-// repeat sends each key again until its answer is final.
+// repeat sends each key again until its response is final.
 func (m *model) repeat(keys []operation.Key) {
 	for _, key := range keys {
 		final := false
@@ -356,12 +356,12 @@
 			n.end = n.rec.End()
 			n.unresolved = false
 			n.arrive(key)
-			m.heal()
+			m.endFaults()
 			m.now = m.now.Add(time.Second)
 			final = m.answers[key] == fleet.Completed || m.lastUnknownIsFinal(key)
 		}
 		if !final {
-			m.fail("%s got no final answer after the faults had ended", key.Name)
+			m.fail("%s got no final response after the faults had ended", key.Name)
 		}
 	}
 }
--- a/claim/record.go
+++ b/claim/record.go
@@ -16,7 +16,7 @@
 	return "claims-" + strconv.Itoa(partition)
 }
 
-// ID names a claim: its holder and a number that the holder uses once.
+// ID identifies a claim by its holder and a number unique to the holder.
 type ID struct {
 	Holder fleet.Holder
 	Seq    uint64
@@ -27,16 +27,16 @@
 	return id.Holder.String() + "/" + strconv.FormatUint(id.Seq, 10)
 }
 
-// Kind is what an entry says.
+// Kind is the kind of an entry.
 type Kind uint8
 
 const (
-	// Claim asks for the key.
+	// Claim requests the key.
 	Claim Kind = iota + 1
-	// Withdraw is the holder's word that it gave its claim up undispatched,
-	// or that the target did not run the request. It opens the key.
+	// Withdraw records that the holder abandoned its claim undispatched, or
+	// that the target did not run the request. It frees the key.
 	Withdraw
-	// Complete records the target's answer, or that there was one.
+	// Complete records the target's response, or that there was one.
 	Complete
 	// Lose records that the outcome is unknown.
 	Lose
@@ -67,26 +67,26 @@
 
 	// Digest, Base, Window, Service and Route are set on claims.
 	Digest operation.Digest
-	// Base is the offset up to which the holder knew the stream when the
+	// Base is the offset up to which the holder had read the stream when the
 	// request arrived.
 	Base logservice.Offset
-	// Window is how long the key is remembered after its outcome.
+	// Window is how long the key is kept after its outcome.
 	Window  time.Duration
 	Service fleet.ServiceID
 	Route   string
 
 	// Target is where the request was sent, on Complete and Lose.
 	Target fleet.TargetID
-	// Answer is the whole answer, on Complete; nil if it is too large.
+	// Answer is the complete response, on Complete; nil if it is too large.
 	Answer *operation.Answer
-	// Presumed is set on Lose if somebody else than the holder says it.
+	// Presumed is set on Lose if it was not reported by the holder.
 	Presumed bool
 	// Operator and Reason are set on settlements.
 	Operator string
 	Reason   string
 }
 
-// identity tells apart entries that are waited for.
+// identity is the key of a pending entry.
 type identity struct {
 	kind     Kind
 	claim    ID
@@ -114,25 +114,25 @@
 	return n + len(e.Answer.Body)
 }
 
-// Op is what the stream says of one key so far.
+// Op is the state of one key as read from the stream.
 type Op struct {
 	// Entry is the winning claim, with the target, answer, operator and
 	// reason of the entries that followed it.
 	Entry
 	State operation.State
-	// Claimed and Decided are by the log's clock; Decided is zero while the
+	// Claimed and Decided are times of the log's clock; Decided is zero while the
 	// claim has no outcome.
 	Claimed time.Time
 	Decided time.Time
 	// Withdrawn is the offset after the last withdrawal for the key, 0 if
 	// there was none. Only claims with a base at or beyond it may win.
 	Withdrawn logservice.Offset
-	// Contradicted is set when the holder reported another outcome than the
-	// one that an operator had settled.
+	// Contradicted is set when the holder reported an outcome opposite to the
+	// one settled by an operator.
 	Contradicted bool
 }
 
-// expired tells whether the key is free again at a time of the log's clock.
+// expired reports whether the key is free again at a time of the log's clock.
 func (o *Op) expired(now time.Time) bool {
 	switch o.State {
 	case operation.Completed, operation.NotRun, operation.SettledCompleted, operation.SettledNotRun:
@@ -141,26 +141,26 @@
 	return false
 }
 
-// Unresolved tells whether an operator has to reconcile the operation.
+// Unresolved reports whether an operator has to reconcile the operation.
 func (o *Op) Unresolved() bool {
 	return o.State == operation.Unknown || o.Contradicted
 }
 
-// Verdict is what a recorder tells the holder of a claim.
+// Verdict is a recorder's reply on an entry.
 type Verdict uint8
 
 const (
 	// Won means that the claim is the first for its key and undecided.
 	Won Verdict = iota + 1
 	// Lost means that the key belongs to another claim, or that this claim
-	// has been decided meanwhile; the state says how.
+	// has been decided in the meantime, as its state shows.
 	Lost
 	// Mismatch means that the key belongs to another request.
 	Mismatch
 	// Outdated means that the key was withdrawn after the request arrived.
 	Outdated
 	// Refused means that the recorder has not appended the entry and never
-	// will: it is full, or does not know the key's history.
+	// will: it is full or lacks the key's history.
 	Refused
 	// Done means that an entry other than a claim was read back.
 	Done
--- a/claim/recorder.go
+++ b/claim/recorder.go
@@ -10,22 +10,22 @@
 	"github.com/clementinereel/clementinereel/operation"
 )
 
-// outcomeReserve is the share of MaxPending that claims leave to outcomes, as
-// a divisor: outcomes of running work must find room when claims do not.
+// outcomeReserve is the divisor of MaxPending for the share reserved for
+// outcomes, so that running operations can be recorded when claims are refused.
 const outcomeReserve = 4
 
-// sureFailures is how many appends in a row must fail for the log to count as
-// down.
-const sureFailures = 2
+// logDownFailures is the number of consecutive failed appends after which the
+// log counts as down.
+const logDownFailures = 2
 
-// Waiter names one who waits for an entry to be read back.
+// Waiter identifies a caller that waits for an entry to be read back.
 type Waiter uint64
 
-// Reply is what a waiter is told.
+// Reply is the result for a waiter.
 type Reply struct {
 	Waiter  Waiter
 	Verdict Verdict
-	// Op is what the stream says of the key; its State is 0 if nothing.
+	// Op is the state of the key; its State is 0 if there is none.
 	Op Op
 }
 
@@ -35,36 +35,36 @@
 	waiters []Waiter
 	batch   uint64
 	order   Waiter
-	// again is when the entry may be appended again; zero while it waits in
-	// the queue or its append is under way.
-	again time.Time
-	// mayLand is set once an append of the entry has begun.
-	mayLand bool
+	// retryTime is when the entry may be appended again; zero while it is
+	// queued or its append is in progress.
+	retryTime time.Time
+	// mayBeAppended is set once an append of the entry has begun.
+	mayBeAppended bool
 }
 
-// Recorder gathers entries of one partition into appends and answers those
-// who wait once the entries have been read back. It is not safe for use by
+// Recorder batches entries of one partition into appends and replies to the
+// waiters once the entries have been read back. It is not safe for use by
 // several goroutines.
 type Recorder struct {
-	cfg     RecorderConfig
-	fold    *Fold
-	pending map[identity]*pending
-	queue   []identity
-	waiter  Waiter
-	batch   uint64
-	flying  bool
-	tokens  float64
-	refill  time.Time
-	replies []Reply
-	// failures counts appends that failed since one did not.
+	cfg       RecorderConfig
+	fold      *Fold
+	pending   map[identity]*pending
+	queue     []identity
+	waiter    Waiter
+	batch     uint64
+	appending bool
+	tokens    float64
+	refill    time.Time
+	replies   []Reply
+	// failures counts consecutive failed appends.
 	failures int
-	// again is when the next entry may be appended again; zero if none.
-	again time.Time
-	// oldest is since when entries have waited without one being read back.
+	// retryTime is when the next entry may be appended again; zero if none.
+	retryTime time.Time
+	// oldest is the start of the current wait without any entry read back.
 	oldest time.Time
 }
 
-// NewRecorder returns a recorder over a fold, at a time.
+// NewRecorder returns a recorder over a fold.
 func NewRecorder(cfg RecorderConfig, fold *Fold, now time.Time) *Recorder {
 	cfg = cfg.WithDefaults()
 	return &Recorder{
@@ -73,19 +73,19 @@
 	}
 }
 
-// SetAppendRate changes the bound of appends a second.
+// SetAppendRate sets the maximum number of appends per second.
 func (r *Recorder) SetAppendRate(rate float64) { r.cfg.AppendRate = rate }
 
 // Fold returns the partition's state as read so far.
 func (r *Recorder) Fold() *Fold { return r.fold }
 
-// Restart replaces a fold whose next record has expired. What waits to be
-// read back is appended again.
+// Restart replaces a fold whose next record has expired. Entries not yet
+// read back are appended again.
 func (r *Recorder) Restart(fold *Fold, now time.Time) {
 	r.fold = fold
 	for _, p := range r.pending {
 		if p.batch != 0 {
-			p.again = now.Add(r.cfg.RetryAppend)
+			p.retryTime = now.Add(r.cfg.RetryAppend)
 		}
 	}
 	r.retryAt(now.Add(r.cfg.RetryAppend))
@@ -94,17 +94,16 @@
 // Queued returns how many entries wait to be appended.
 func (r *Recorder) Queued() int { return len(r.queue) }
 
-// Submitted tells whether an entry waits here already.
+// Submitted reports whether an entry is already pending.
 func (r *Recorder) Submitted(e Entry) bool { return r.pending[e.identity()] != nil }
 
-// Len returns how many entries wait.
+// Len returns the number of pending entries.
 func (r *Recorder) Len() int { return len(r.pending) }
 
-// Submit takes an entry to append and returns who waits for it. It is refused
-// (false) if the recorder is full or does not know the partition's history;
-// then this recorder has not appended the entry.
+// Submit queues an entry and returns its waiter. It returns false, without
+// appending the entry, if the recorder is full or lacks the partition's history.
 func (r *Recorder) Submit(now time.Time, e Entry) (Waiter, bool) {
-	if !r.fold.Covered() || !r.room(now, &e) {
+	if !r.fold.Covered() || !r.hasRoom(now, &e) {
 		return 0, false
 	}
 	r.waiter++
@@ -122,9 +121,9 @@
 	return r.waiter, true
 }
 
-// Known answers a claim without an append where what has been read decides it
-// already: as it stands, the claim would lose.
-func (r *Recorder) Known(e Entry) (Reply, bool) {
+// Decided returns the reply to a claim that would lose according to the records
+// read so far, so that it needs no append.
+func (r *Recorder) Decided(e Entry) (Reply, bool) {
 	op, ok := r.fold.Get(e.Key)
 	if !r.fold.Covered() || !ok || e.Kind != Claim {
 		return Reply{}, false
@@ -135,7 +134,7 @@
 	return r.reply(0, &e), true
 }
 
-func (r *Recorder) room(now time.Time, e *Entry) bool {
+func (r *Recorder) hasRoom(now time.Time, e *Entry) bool {
 	if r.pending[e.identity()] != nil {
 		return true
 	}
@@ -148,11 +147,11 @@
 	return r.fold.Len() < r.cfg.MaxKeys && r.fold.Size() < r.cfg.MaxSize
 }
 
-// stalled tells whether entries have waited for too long: MaxWait, or the less
-// of it the surer it is that the log is down.
+// stalled reports whether entries have waited for too long: MaxWait, or
+// RetryAppend if that is shorter and the log counts as down.
 func (r *Recorder) stalled(now time.Time) bool {
 	limit := r.cfg.MaxWait
-	if r.failures >= sureFailures {
+	if r.failures >= logDownFailures {
 		limit = min(limit, r.cfg.RetryAppend)
 	}
 	return !r.oldest.IsZero() && now.Sub(r.oldest) > limit
@@ -169,8 +168,8 @@
 	return list
 }
 
-// Cancel forgets a waiter. An entry that nobody waits for and that was never
-// handed out for an append is dropped.
+// Cancel removes a waiter. A claim without waiters that was never passed to an
+// append is dropped.
 func (r *Recorder) Cancel(e Entry, w Waiter) {
 	p := r.pending[e.identity()]
 	if p == nil {
@@ -182,7 +181,7 @@
 			break
 		}
 	}
-	if len(p.waiters) == 0 && !p.mayLand && e.Kind == Claim {
+	if len(p.waiters) == 0 && !p.mayBeAppended && e.Kind == Claim {
 		delete(r.pending, e.identity())
 		if len(r.pending) == 0 {
 			r.oldest = time.Time{}
@@ -191,10 +190,10 @@
 }
 
 // Next returns the entries of the next append and its number, or none if no
-// append is due. One append is under way at a time; Appended ends it.
+// append is due. Only one append is in progress at a time; Appended ends it.
 func (r *Recorder) Next(now time.Time) (uint64, []Entry) {
 	r.requeue(now)
-	if r.flying || !r.due(now) || !r.token(now) {
+	if r.appending || !r.appendDue(now) || !r.takeToken(now) {
 		return 0, nil
 	}
 	r.batch++
@@ -212,34 +211,34 @@
 		}
 		taken++
 		p.batch = r.batch
-		p.mayLand = true
+		p.mayBeAppended = true
 		entries = append(entries, p.entry)
 	}
 	r.queue = append(r.queue[:0], r.queue[taken:]...)
 	if len(entries) == 0 {
 		return 0, nil
 	}
-	r.flying = true
+	r.appending = true
 	return r.batch, entries
 }
 
-// requeue takes up again what was appended without effect, as far as known,
-// in the order in which it came.
+// requeue queues the entries whose append apparently had no effect, in their
+// original order.
 func (r *Recorder) requeue(now time.Time) {
-	if r.again.IsZero() || now.Before(r.again) {
+	if r.retryTime.IsZero() || now.Before(r.retryTime) {
 		return
 	}
-	r.again = time.Time{}
+	r.retryTime = time.Time{}
 	var ids []identity
 	for id, p := range r.pending {
-		if p.batch == 0 || p.again.IsZero() {
+		if p.batch == 0 || p.retryTime.IsZero() {
 			continue
 		}
-		if now.Before(p.again) {
-			r.retryAt(p.again)
+		if now.Before(p.retryTime) {
+			r.retryAt(p.retryTime)
 			continue
 		}
-		p.again = time.Time{}
+		p.retryTime = time.Time{}
 		p.batch = 0
 		ids = append(ids, id)
 	}
@@ -247,15 +246,15 @@
 	r.queue = append(r.queue, ids...)
 }
 
-// retryAt notes when requeue has something to do.
+// retryAt schedules the next run of requeue.
 func (r *Recorder) retryAt(t time.Time) {
-	if r.again.IsZero() || t.Before(r.again) {
-		r.again = t
+	if r.retryTime.IsZero() || t.Before(r.retryTime) {
+		r.retryTime = t
 	}
 }
 
-// due tells whether a batch is full or an entry has lingered long enough.
-func (r *Recorder) due(now time.Time) bool {
+// appendDue reports whether a batch is full or an entry has lingered long enough.
+func (r *Recorder) appendDue(now time.Time) bool {
 	if len(r.queue) >= r.cfg.MaxBatch {
 		return true
 	}
@@ -276,7 +275,7 @@
 	return r.cfg.OutcomeLinger
 }
 
-func (r *Recorder) token(now time.Time) bool {
+func (r *Recorder) takeToken(now time.Time) bool {
 	if d := now.Sub(r.refill); d > 0 {
 		r.tokens = min(r.tokens+d.Seconds()*r.cfg.AppendRate, float64(r.cfg.AppendBurst))
 		r.refill = now
@@ -288,10 +287,10 @@
 	return true
 }
 
-// Appended ends an append. After a failure the entries may still have taken
-// effect: they are awaited in the stream for RetryAppend, then appended again.
+// Appended ends an append. After a failure the entries may still be in
+// the log: they are appended again if not read back within RetryAppend.
 func (r *Recorder) Appended(now time.Time, batch uint64, err error) {
-	r.flying = false
+	r.appending = false
 	r.failures++
 	if err == nil {
 		r.failures = 0
@@ -301,13 +300,13 @@
 	}
 	for _, p := range r.pending {
 		if p.batch == batch {
-			p.again = now.Add(r.cfg.RetryAppend)
+			p.retryTime = now.Add(r.cfg.RetryAppend)
 		}
 	}
 	r.retryAt(now.Add(r.cfg.RetryAppend))
 }
 
-// Read applies the next record of the stream and settles what it carries.
+// Read applies the next record of the stream and resolves its entries.
 func (r *Recorder) Read(now time.Time, rec Record) {
 	if rec.Offset < r.fold.Next() {
 		return
@@ -345,13 +344,13 @@
 	return Reply{Waiter: w, Verdict: Done, Op: op}
 }
 
-// Replies returns what became known since the last call.
+// Replies returns the replies since the last call.
 func (r *Recorder) Replies() []Reply {
 	out := r.replies
 	r.replies = nil
 	return out
 }
 
-// End returns how far the stream has been read: the base of claims for
-// requests that arrive from now on.
+// End returns the offset up to which the stream has been read, which is the
+// base of claims for new requests.
 func (r *Recorder) End() logservice.Offset { return r.fold.Next() }
--- a/claim/recorder_config.go
+++ b/claim/recorder_config.go
@@ -7,12 +7,11 @@
 	// Linger is how long a claim may wait for others to share its append.
 	// Default 2 ms.
 	Linger time.Duration
-	// OutcomeLinger is the same for all other entries. Nobody waits for these
-	// before a dispatch, so that they may ride along with claims. Default
-	// 50 ms.
+	// OutcomeLinger is the same for all other entries. No dispatch waits for
+	// them, so they can share appends with claims. Default 50 ms.
 	OutcomeLinger time.Duration
-	// AppendRate bounds appends a second. Default 18, so that 16 partitions
-	// stay within 300 a second.
+	// AppendRate bounds appends per second. Default 18, so that 16 partitions
+	// stay within 300 per second.
 	AppendRate float64
 	// AppendBurst is how many appends may come at once above the rate.
 	// Default 10.
@@ -26,13 +25,13 @@
 	// Default 4096. Beyond it claims are refused.
 	MaxPending int
 	// MaxKeys bounds the keys of the partition. Default 200000. Beyond it
-	// claims are refused; no key is forgotten for it.
+	// claims are refused; no key is evicted.
 	MaxKeys int
 	// MaxSize bounds the estimated memory of the partition's keys and
 	// answers, in bytes. Default 64 MiB.
 	MaxSize int64
-	// MaxWait is how old the oldest waiting entry may be before further claims
-	// are refused: the log is down or too slow. Default 2 s.
+	// MaxWait is how long entries may wait without one being read back before
+	// further claims are refused, because the log is down or too slow. Default 2 s.
 	MaxWait time.Duration
 	// RetryAppend is how long after a failed append an entry that was not
 	// read back is appended again. Default 250 ms.
--- a/claim/step.go
+++ b/claim/step.go
@@ -8,37 +8,37 @@
 const (
 	// StepDispatch means that the holder, and it alone, must dispatch now.
 	StepDispatch Step = iota + 1
-	// StepNotRun means that not run is true and may be told; the attempt is
-	// withdrawn after that.
+	// StepNotRun means that "not run" holds and may be reported; the attempt
+	// is withdrawn afterwards.
 	StepNotRun
-	// StepFollow means that another claim runs; its holder has the answer.
+	// StepFollow means that another claim runs; its holder has the response.
 	StepFollow
 	// StepReplay means that the operation has an outcome on record.
 	StepReplay
-	// StepOtherBody means that the key belongs to another request.
-	StepOtherBody
-	// StepRepeat means that this request is too old to claim the key: another
-	// attempt was given up since it arrived. A repeat may claim it.
+	// StepDifferentRequest means that the key belongs to another request.
+	StepDifferentRequest
+	// StepRepeat means that the key was withdrawn after this request arrived.
+	// A repeated request may claim it.
 	StepRepeat
-	// StepSurvey means that the attempt is given up and that only a survey
-	// can tell whether not run is true.
+	// StepSurvey means that the attempt is abandoned and that only a survey
+	// can decide whether "not run" holds.
 	StepSurvey
 )
 
-// Submitted notes that the attempt's claim has been handed out. From now on it
-// may reach the log at any time.
+// Submitted records that the attempt's claim was sent to a recorder. From
+// now on it may reach the log at any time.
 func (t *Table) Submitted(a *Attempt) { a.exposed = true }
 
-// Withheld notes that the only recorder that was given the attempt's claim has
-// certainly not appended it.
-func (t *Table) Withheld(a *Attempt) { a.exposed = false }
+// NotAppended records that the only recorder that received the attempt's claim
+// has certainly not appended it.
+func (t *Table) NotAppended(a *Attempt) { a.exposed = false }
 
-// Exposed tells whether the attempt's claim may be in the log, or get there,
-// so that the attempt must be withdrawn once it is given up.
+// Exposed reports whether the attempt's claim may be in the log or may still
+// reach it, so that an abandoned attempt must be withdrawn.
 func (a *Attempt) Exposed() bool { return a.exposed }
 
-// Resolve applies a recorder's verdict to an attempt. An attempt that can no
-// longer do anything is forgotten.
+// Resolve applies a recorder's verdict to an attempt. An attempt that needs
+// no further step is dropped.
 func (t *Table) Resolve(a *Attempt, v Verdict, op Op) Step {
 	switch v {
 	case Won:
@@ -47,7 +47,7 @@
 		return t.resolveLost(a, op)
 	case Mismatch:
 		t.drop(a)
-		return StepOtherBody
+		return StepDifferentRequest
 	case Outdated:
 		t.drop(a)
 		return StepRepeat
@@ -63,7 +63,8 @@
 	return t.fenced(a)
 }
 
-// fenced concludes from a standing claim that an abandoned attempt is not run.
+// fenced returns the step for an attempt whose claim stands in the log: an
+// abandoned attempt did not run.
 func (t *Table) fenced(a *Attempt) Step {
 	a.won = true
 	if a.op.State() == operation.NotRun {
@@ -77,7 +78,7 @@
 		t.drop(a)
 		return followOrReplay(op)
 	}
-	// The claim won, and others decided it: it must not be dispatched now.
+	// The claim won but was decided by others: it must not be dispatched.
 	t.Abandon(a)
 	if op.State == operation.Unknown && op.Presumed {
 		return t.fenced(a)
@@ -93,8 +94,8 @@
 	return StepFollow
 }
 
-// drop forgets an attempt whose claim is dead: it was judged at its offset and
-// lost, and whatever copy of it comes later is older than what has won.
+// drop abandons and removes an attempt whose claim lost at its offset. Later
+// copies of the claim cannot win either, because their base is too old.
 func (t *Table) drop(a *Attempt) {
 	if t.Abandon(a) {
 		t.Forget(a)
--- a/claim/survey.go
+++ b/claim/survey.go
@@ -10,51 +10,51 @@
 	"github.com/clementinereel/clementinereel/operation"
 )
 
-// SurveyAnswer is what one instance says of a key.
+// SurveyAnswer is the response of one instance to a survey of a key.
 type SurveyAnswer struct {
 	From fleet.Holder
-	// Live is set if the instance holds an attempt that ran or may yet run.
+	// Live is set if the instance holds an attempt that ran or may still run.
 	Live bool
-	// View lists the processes that the instance knows, or knew of late.
+	// View lists the processes that the instance tracks or tracked recently.
 	View []fleet.Holder
 	// Watched is how long the instance has kept its view.
 	Watched time.Duration
-	// Claimants are the holders whose claims for the key wait here to be
-	// appended or read back.
+	// Claimants are the holders whose claims for the key wait at this
+	// instance to be appended or read back.
 	Claimants []fleet.Holder
-	// End is how far the instance knows that the partition's stream reaches.
+	// End is the end offset of the partition's stream seen by the instance.
 	End logservice.Offset
 	// Covered is set if the instance has read the whole history of the key,
-	// up to Next, with a read that found the end and began Age ago.
+	// up to Next, by a read that reached the end and began Age ago.
 	Covered bool
 	Age     time.Duration
 	Next    logservice.Offset
-	// Op is what that history says; its State is 0 if nothing.
+	// Op is the key's state in that history; its State is 0 if there is none.
 	Op Op
 }
 
-// Survey decides whether "not run" is true of a key while claims cannot be
-// settled through the log. It is strict: what is not proved is unknown.
+// Survey decides whether "not run" holds for a key while claims cannot be
+// decided through the log. Anything not proved is unknown.
 type Survey struct {
 	started time.Time
 	claim   ID
 	history *History
 	answers map[fleet.Holder]SurveyAnswer
 	named   map[fleet.Holder]bool
-	// bound holds the processes that must answer, gone or not.
-	bound map[fleet.Holder]bool
-	// reached holds the instances that answered, in any incarnation.
+	// required holds the processes that must respond even if they ended.
+	required map[fleet.Holder]bool
+	// reached holds the instances that responded, in any incarnation.
 	reached map[fleet.InstanceID]bool
 }
 
-// NewSurvey starts a survey by the holder of a claim, which it must have
-// abandoned before; a zero claim stands for none. The asking instance's own
-// answer is added like the others'.
+// NewSurvey starts a survey by the holder of a claim, which must have
+// been abandoned before; a zero claim means none. The requester's own response
+// is added like the others.
 func NewSurvey(now time.Time, claim ID, h *History) *Survey {
 	s := &Survey{
 		started: now, claim: claim, history: h,
 		answers: map[fleet.Holder]SurveyAnswer{},
-		named:   map[fleet.Holder]bool{}, bound: map[fleet.Holder]bool{},
+		named:   map[fleet.Holder]bool{}, required: map[fleet.Holder]bool{},
 		reached: map[fleet.InstanceID]bool{},
 	}
 	for _, m := range h.All() {
@@ -63,7 +63,7 @@
 	return s
 }
 
-// Add takes an answer.
+// Add records a response.
 func (s *Survey) Add(a SurveyAnswer) {
 	s.answers[a.From] = a
 	s.reached[a.From.Instance] = true
@@ -72,16 +72,16 @@
 	}
 	for _, m := range a.Claimants {
 		s.named[m] = true
-		s.bound[m] = true
+		s.required[m] = true
 	}
 }
 
-// Ask returns the processes that have been named and have not answered.
-func (s *Survey) Ask() []fleet.Holder {
+// Unanswered returns the processes that were named and have not responded.
+func (s *Survey) Unanswered() []fleet.Holder {
 	var list []fleet.Holder
 	for m := range s.named {
 		_, ok := s.answers[m]
-		// A process of which only the instance is known, without incarnation.
+		// A zero incarnation means that only the instance is known.
 		ok = ok || m.Incarnation == 0 && s.reached[m.Instance]
 		if !ok {
 			list = append(list, m)
@@ -94,18 +94,18 @@
 type Finding struct {
 	// NotRun is set if no attempt for the key ran or can run.
 	NotRun bool
-	// Fenced is set if that is so because the asker's own abandoned claim
-	// stands in the log.
+	// Fenced is set if NotRun follows from the requester's own abandoned
+	// claim in the log.
 	Fenced bool
-	// Op is what the history says of the key, if anything stands there.
+	// Op is the state of the key in the history, if any.
 	Op Op
-	// Doubt says why NotRun is unset.
+	// Doubt is the reason why NotRun is unset.
 	Doubt string
 }
 
-// Find returns the survey's result at a time. Not run may be told only until
-// tellWithin after the start.
-func (s *Survey) Find(now time.Time, tellWithin time.Duration) Finding {
+// Result returns the survey's result. "Not run" may be reported only until
+// notRunTimeout after the start.
+func (s *Survey) Result(now time.Time, notRunTimeout time.Duration) Finding {
 	best, ok := s.coverage()
 	if !ok {
 		return Finding{Doubt: "no recorder has read the key's history"}
@@ -119,13 +119,14 @@
 	if doubt := s.doubt(best); doubt != "" {
 		return Finding{Doubt: doubt}
 	}
-	if now.Sub(s.started) > tellWithin {
+	if now.Sub(s.started) > notRunTimeout {
 		return Finding{Doubt: "the survey took too long"}
 	}
 	return Finding{NotRun: true}
 }
 
-// doubt says what keeps the answers from proving that nobody holds the key.
+// doubt returns why the responses do not prove that nobody holds the key, or ""
+// if they do.
 func (s *Survey) doubt(best SurveyAnswer) string {
 	watched := false
 	for _, a := range s.answers {
@@ -141,15 +142,15 @@
 		return "nobody has watched the instances for long enough"
 	}
 	since := s.started.Add(-best.Age)
-	for _, m := range s.Ask() {
-		if s.bound[m] || !s.history.GoneBefore(m, since) {
+	for _, m := range s.Unanswered() {
+		if s.required[m] || !s.history.EndedBefore(m, since) {
 			return "no answer from " + m.String()
 		}
 	}
 	return ""
 }
 
-// coverage returns the answer that has read the history farthest.
+// coverage returns the response with the most recent history.
 func (s *Survey) coverage() (SurveyAnswer, bool) {
 	var best SurveyAnswer
 	found := false
@@ -166,9 +167,9 @@
 	return best, found
 }
 
-// History remembers which processes were in the instance's view, and when they
+// History records which processes were in the instance's view and when they
 // left it. A process may leave the view only when the platform no longer lists
-// it; being out of reach is no reason. A new process must be in the view less
+// it; being unreachable is no reason. A new process must be in the view less
 // than the margin after its start.
 type History struct {
 	margin time.Duration
@@ -180,8 +181,8 @@
 }
 
 // NewHistory returns an empty history that begins now. A process counts as
-// gone a margin after it left the view, or when a later incarnation of its
-// instance is seen. Processes are remembered for keep after they left.
+// ended a margin after it left the view, or when a later incarnation of its
+// instance is seen. Processes are kept for keep after they left.
 func NewHistory(now time.Time, margin, keep time.Duration) *History {
 	return &History{
 		margin: margin, keep: keep, began: now,
@@ -190,12 +191,12 @@
 	}
 }
 
-// Observe takes the whole view as of now.
+// Observe records the complete view as of now.
 func (h *History) Observe(now time.Time, view []fleet.Holder) {
 	present := map[fleet.Holder]bool{}
 	for _, m := range view {
 		present[m] = true
-		h.Met(m)
+		h.Seen(m)
 	}
 	for m, at := range h.left {
 		switch {
@@ -208,13 +209,13 @@
 	}
 }
 
-// Met notes a process that made itself known.
-func (h *History) Met(m fleet.Holder) {
+// Seen records a process that announced itself.
+func (h *History) Seen(m fleet.Holder) {
 	h.left[m] = time.Time{}
 	h.latest[m.Instance] = max(h.latest[m.Instance], m.Incarnation)
 }
 
-// All returns the processes that are remembered.
+// All returns the recorded processes.
 func (h *History) All() []fleet.Holder {
 	list := make([]fleet.Holder, 0, len(h.left))
 	for m := range h.left {
@@ -233,26 +234,26 @@
 // Latest returns the latest incarnation of an instance that was seen, or 0.
 func (h *History) Latest(id fleet.InstanceID) fleet.Incarnation { return h.latest[id] }
 
-// Present tells whether a process was in the view at the last look.
+// Present reports whether a process was in the latest observed view.
 func (h *History) Present(m fleet.Holder) bool {
 	at, ok := h.left[m]
 	return ok && at.IsZero()
 }
 
-// Watched returns for how long the history is whole.
+// Watched returns the period over which the history is complete.
 func (h *History) Watched(now time.Time) time.Duration {
 	return min(now.Sub(h.began), h.keep-h.margin)
 }
 
-// GoneBefore tells whether a process certainly did nothing from a time on. One
-// that was never seen, or was never found absent, is not gone.
-func (h *History) GoneBefore(m fleet.Holder, t time.Time) bool {
+// EndedBefore reports whether a process had certainly ended before t. It is false
+// for a process that was never seen or never found absent.
+func (h *History) EndedBefore(m fleet.Holder, t time.Time) bool {
 	at, ok := h.left[m]
 	return ok && !at.IsZero() && at.Add(h.margin).Before(t)
 }
 
-// Superseded tells whether a process has certainly ended: a later incarnation
+// Superseded reports whether a process has certainly ended: a later incarnation
 // of its instance runs, or the platform stopped listing it a margin ago.
 func (h *History) Superseded(now time.Time, m fleet.Holder) bool {
-	return h.latest[m.Instance] > m.Incarnation || h.GoneBefore(m, now)
+	return h.latest[m.Instance] > m.Incarnation || h.EndedBefore(m, now)
 }
--- a/claim/table_test.go
+++ b/claim/table_test.go
@@ -14,7 +14,7 @@
 
 func openTable(cfg TableConfig) *Table {
 	tab := NewTable(cfg, hx)
-	tab.Greeted(t0.Add(-time.Hour))
+	tab.Announced(t0.Add(-time.Hour))
 	return tab
 }
 
@@ -43,7 +43,7 @@
 	tab := NewTable(TableConfig{}, hx)
 	_, adm := tab.Begin(t0, Attempt{Key: key})
 	assert.Equal(t, adm, HeldOff)
-	tab.Greeted(t0)
+	tab.Announced(t0)
 	_, adm = tab.Begin(t0.Add(time.Second), Attempt{Key: key})
 	assert.Equal(t, adm, HeldOff)
 	_, adm = tab.Begin(t0.Add(6*time.Second), Attempt{Key: key})
@@ -67,7 +67,7 @@
 	w, ok := r.Submit(t0, claimOf(cx, 0))
 	assert.Assert(t, ok)
 	batch, _ := r.Next(t0)
-	assert.Equal(t, batch, uint64(0), "lingers")
+	assert.Equal(t, batch, uint64(0), "claim lingers")
 	now := t0.Add(5 * time.Millisecond)
 	batch, entries := r.Next(now)
 	assert.Equal(t, len(entries), 1)
@@ -92,23 +92,23 @@
 		return ok
 	}
 	assert.Assert(t, submit(t0, Claim, 1))
-	assert.Assert(t, !submit(t0.Add(2*time.Second), Claim, 2), "the log does not move")
+	assert.Assert(t, !submit(t0.Add(2*time.Second), Claim, 2), "log is stalled")
 	assert.Assert(t, submit(t0, Claim, 2))
 	assert.Assert(t, submit(t0, Claim, 3))
 	assert.Assert(t, !submit(t0, Claim, 4))
-	assert.Assert(t, submit(t0, Complete, 5), "outcomes keep a reserve")
+	assert.Assert(t, submit(t0, Complete, 5), "outcomes have a reserve")
 	assert.Assert(t, !submit(t0, Complete, 6))
 	r = NewRecorder(RecorderConfig{MaxRecord: 500}, NewFold(0), t0)
 	for n := range 3 {
 		assert.Assert(t, submit(t0, Claim, n))
 	}
 	_, entries := r.Next(t0.Add(time.Second))
-	assert.Equal(t, len(entries), 2, "a record has a bound")
+	assert.Equal(t, len(entries), 2, "record size is limited")
 	r = NewRecorder(RecorderConfig{}, NewFold(7), t0)
-	assert.Assert(t, !submit(t0, Claim, 1), "history not known")
+	assert.Assert(t, !submit(t0, Claim, 1), "history not covered")
 }
 
-// The answers that a survey needs, and what each lack of them makes of it.
+// A survey proves "not run" only if no required response is missing or outdated.
 func TestSurvey(t *testing.T) {
 	covered := SurveyAnswer{From: hy, Covered: true, Age: time.Minute, Next: 9, Watched: hour, End: 9}
 	claimed := Op{Entry: claimOf(cy, 0), State: operation.Claimed}
@@ -124,16 +124,16 @@
 		after   time.Duration
 		notRun  bool
 	}{
-		{"all say no", []SurveyAnswer{{From: hx}, covered}, 0, true},
-		{"one is silent", []SurveyAnswer{covered}, 0, false},
+		{"no instance has an attempt", []SurveyAnswer{{From: hx}, covered}, 0, true},
+		{"one does not respond", []SurveyAnswer{covered}, 0, false},
 		{"one holds an attempt", []SurveyAnswer{{From: hx, Live: true}, covered}, 0, false},
 		{"no recorder", []SurveyAnswer{{From: hx}, {From: hy}}, 0, false},
 		{"recorder lags", []SurveyAnswer{{From: hx, End: 10}, covered}, 0, false},
 		{"key is claimed", []SurveyAnswer{{From: hx}, with(func(a *SurveyAnswer) { a.Op = claimed })}, 0, false},
 		{"own claim stands", []SurveyAnswer{with(func(a *SurveyAnswer) { a.Op = mine })}, hour, true},
 		{"another process is named", []SurveyAnswer{{From: hx}, with(func(a *SurveyAnswer) { a.View = []fleet.Holder{hz} })}, 0, false},
-		{"a claimant is silent", []SurveyAnswer{{From: hx}, with(func(a *SurveyAnswer) { a.Claimants = []fleet.Holder{hz} })}, 0, false},
-		{"view is young", []SurveyAnswer{{From: hx}, with(func(a *SurveyAnswer) { a.Watched = time.Second })}, 0, false},
+		{"a claimant does not respond", []SurveyAnswer{{From: hx}, with(func(a *SurveyAnswer) { a.Claimants = []fleet.Holder{hz} })}, 0, false},
+		{"view is too recent", []SurveyAnswer{{From: hx}, with(func(a *SurveyAnswer) { a.Watched = time.Second })}, 0, false},
 		{"too late", []SurveyAnswer{{From: hx}, covered}, 2 * time.Second, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -143,21 +143,21 @@
 			for _, a := range tc.answers {
 				s.Add(a)
 			}
-			f := s.Find(t0.Add(tc.after), time.Second)
+			f := s.Result(t0.Add(tc.after), time.Second)
 			assert.Equal(t, f.NotRun, tc.notRun, f.Doubt)
 		})
 	}
 }
 
-// A process is gone only a margin after a look at the view that lacked it.
+// A process counts as ended only a margin after an observed view without it.
 func TestHistoryGone(t *testing.T) {
 	h := NewHistory(t0, time.Minute, hour)
 	h.Observe(t0, []fleet.Holder{hx, hy})
-	assert.Assert(t, !h.GoneBefore(hy, t0.Add(hour)), "not looked at since")
+	assert.Assert(t, !h.EndedBefore(hy, t0.Add(hour)), "no view observed since")
 	h.Observe(t0.Add(time.Minute), []fleet.Holder{hx})
-	assert.Assert(t, !h.GoneBefore(hy, t0.Add(2*time.Minute)))
-	assert.Assert(t, h.GoneBefore(hy, t0.Add(3*time.Minute)))
+	assert.Assert(t, !h.EndedBefore(hy, t0.Add(2*time.Minute)))
+	assert.Assert(t, h.EndedBefore(hy, t0.Add(3*time.Minute)))
 	next := fleet.Holder{Instance: "x", Incarnation: 2}
-	h.Met(next)
+	h.Seen(next)
 	assert.Assert(t, h.Superseded(t0, hx))
 }
--- a/operate/fake_test.go
+++ b/operate/fake_test.go
@@ -182,7 +182,7 @@
 			}
 			return c.behaviour()(ctx, req)
 		},
-		Attempts: claim.TableConfig{HoldOff: 400 * time.Millisecond, TellWithin: 300 * time.Millisecond},
+		Attempts: claim.TableConfig{HoldOff: 400 * time.Millisecond, NotRunTimeout: 300 * time.Millisecond},
 	}
 	if c.change != nil {
 		c.change(&cfg)
--- a/operate/keyed.go
+++ b/operate/keyed.go
@@ -81,7 +81,7 @@
 func (s *Service) doKeyed(ctx context.Context, req *Request, run Runner) Answer {
 	f, adm := s.begin(req, run)
 	switch adm {
-	case claim.OtherBody:
+	case claim.DifferentRequest:
 		return Answer{Answer: otherBody(req)}
 	case claim.HeldOff:
 		return Answer{Answer: undecided(req, "the key is held off for a moment")}
@@ -168,7 +168,7 @@
 		return s.follow(ctx, req, op.Claim), time.Time{}
 	case claim.StepReplay:
 		return s.replay(ctx, req, op), time.Time{}
-	case claim.StepOtherBody:
+	case claim.StepDifferentRequest:
 		return otherBody(req), time.Time{}
 	case claim.StepRepeat:
 		return undecided(req, "another attempt has just ended"), time.Time{}
--- a/operate/measure_test.go
+++ b/operate/measure_test.go
@@ -193,7 +193,7 @@
 		var wg sync.WaitGroup
 		for k := range clusters {
 			c := newCluster(t, 4, func(cfg *Config) {
-				cfg.Attempts = claim.TableConfig{HoldOff: 100 * time.Millisecond, TellWithin: 80 * time.Millisecond}
+				cfg.Attempts = claim.TableConfig{HoldOff: 100 * time.Millisecond, NotRunTimeout: 80 * time.Millisecond}
 			})
 			wg.Go(func() {
 				c.crashAndRepeat(w, uint64(k), perCluster, &sum)
--- a/operate/partition.go
+++ b/operate/partition.go
@@ -110,7 +110,7 @@
 // record appends an entry, with others, and waits until it is read back.
 func (p *partition) record(ctx context.Context, e claim.Entry) (claim.Reply, logservice.Offset, error) {
 	p.mu.Lock()
-	if rep, ok := p.rec.Known(e); ok && p.read {
+	if rep, ok := p.rec.Decided(e); ok && p.read {
 		defer p.mu.Unlock()
 		return rep, p.rec.End(), nil
 	}
--- a/operate/peers.go
+++ b/operate/peers.go
@@ -60,7 +60,7 @@
 	}
 	if r.withheld && ctx.Err() == nil {
 		s.mu.Lock()
-		s.table.Withheld(a)
+		s.table.NotAppended(a)
 		s.mu.Unlock()
 	}
 	return r.verdict, r.op
--- a/operate/service.go
+++ b/operate/service.go
@@ -272,7 +272,7 @@
 	defer s.mu.Unlock()
 	s.greeting = false
 	if met > 0 || len(others) == 0 {
-		s.table.Greeted(s.now())
+		s.table.Announced(s.now())
 	}
 }
 
--- a/operate/survey.go
+++ b/operate/survey.go
@@ -112,7 +112,7 @@
 	keys := make([]operation.Key, len(batch))
 	surveys := make([]*claim.Survey, len(batch))
 	s.mu.Lock()
-	tell := s.table.Config().TellWithin
+	tell := s.table.Config().NotRunTimeout
 	for i, q := range batch {
 		keys[i] = q.key
 		surveys[i] = claim.NewSurvey(began, q.claim, s.history)
@@ -127,7 +127,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, q := range batch {
-		q.answer <- surveyed{Finding: surveys[i].Find(s.now(), tell), until: began.Add(tell)}
+		q.answer <- surveyed{Finding: surveys[i].Result(s.now(), tell), until: began.Add(tell)}
 	}
 }
 
@@ -136,7 +136,7 @@
 	seen := map[fleet.Holder]bool{}
 	var list []fleet.Holder
 	for _, sv := range surveys {
-		for _, m := range sv.Ask() {
+		for _, m := range sv.Unanswered() {
 			if !seen[m] {
 				seen[m] = true
 				list = append(list, m)
@@ -237,7 +237,7 @@
 func (s *Service) met(m fleet.Holder) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history.Met(m)
+	s.history.Seen(m)
 }
 
 func surveyOf(m *peerv1.SurveyResponse) []claim.SurveyAnswer {
