--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -26,7 +26,7 @@
 // returns the result of the last try. ctx should carry the job's deadline.
 func Run(ctx context.Context, svc *upstream.Service, job *Job) upstream.Result {
 	r := &run{ctx: ctx, svc: svc, job: job, cancelTries: func(error) {}}
-	defer func() { r.cancelTries(upstream.ErrGivenUp) }()
+	defer func() { r.cancelTries(upstream.ErrAbandoned) }()
 	res := r.firstTry()
 	for !succeeded(&res) {
 		r.recordFailure(&res)
@@ -110,7 +110,7 @@
 
 // send runs one try in the calling goroutine. If place is not nil, it receives
 // the target of the try.
-func (r *run) send(ctx context.Context, place *upstream.Place) upstream.Result {
+func (r *run) send(ctx context.Context, place *upstream.TargetTracker) upstream.Result {
 	ctx, cancel := r.tryContext(ctx)
 	defer cancel()
 	search := r.tried
@@ -130,7 +130,7 @@
 		return ctx, func() {}
 	}
 	share := left / time.Duration(rest)
-	share = max(share, minTryFactor*r.svc.Expected(r.job.Policy.Class))
+	share = max(share, minTryFactor*r.svc.ExpectedLatency(r.job.Policy.Class))
 	return context.WithTimeout(ctx, min(share, left))
 }
 
@@ -158,7 +158,7 @@
 		Unsent:       last != 0 && !r.last.Sent,
 		Running:      r.running,
 		FirstTry:     r.first,
-		Expected:     r.svc.Expected(r.job.Policy.Class),
+		Expected:     r.svc.ExpectedLatency(r.job.Policy.Class),
 		OtherTarget:  r.svc.HasMore(r.excludedTargets(last)),
 		RetryAfter:   r.last.RetryAfter,
 		BodyConsumed: r.bodyConsumed,
@@ -195,5 +195,5 @@
 // HasResponse reports whether res has a response that may be passed on to the
 // caller: a complete one that does not state that the request was not run.
 func HasResponse(res *upstream.Result) bool {
-	return res.Answer != nil && !res.Try.NotRun()
+	return res.Response != nil && !res.Try.NotRun()
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -79,11 +79,11 @@
 				res := runJob(retried(job(c.class, body), 2), svc)
 				assert.Equal(t, res.Try, c.want, "%v", res.Err)
 				assert.Equal(t, f.count.Load(), c.tries)
-				assert.Equal(t, HasResponse(&res), res.Answer != nil && c.want != fleet.TryShed)
+				assert.Equal(t, HasResponse(&res), res.Response != nil && c.want != fleet.TryShed)
 				if c.want == fleet.TryOK {
 					assertResponse(t, &res, body)
 				}
-				assert.Assert(t, c.want != fleet.TryTruncated || res.Answer == nil)
+				assert.Assert(t, c.want != fleet.TryTruncated || res.Response == nil)
 			})
 		}
 	}
@@ -173,7 +173,7 @@
 			j := hedged(job(fleet.Lookup, body))
 			j.Policy.Percent, j.Policy.HedgeAfter = 0, 50*time.Millisecond
 			res := runJob(j, svc)
-			assert.Check(t, res.Try == fleet.TryOK && string(res.Answer.Body) == body, "%+v", res)
+			assert.Check(t, res.Try == fleet.TryOK && string(res.Response.Body) == body, "%+v", res)
 		})
 	}
 	wg.Wait()
@@ -226,7 +226,7 @@
 					continue
 				}
 				whole.Add(1)
-				if got := string(res.Answer.Body); got != nonce {
+				if got := string(res.Response.Body); got != nonce {
 					t.Errorf("caller of %s got the response %q", nonce, got)
 				}
 			}
@@ -267,6 +267,6 @@
 // TestNoTarget sends a request to a service whose only target is leaving.
 func TestNoTarget(t *testing.T) {
 	res := runJob(job(fleet.Confirmation, "body"), newService(t))
-	assert.Assert(t, res.Unrun())
-	assert.Assert(t, res.Answer == nil)
+	assert.Assert(t, res.NotRun())
+	assert.Assert(t, res.Response == nil)
 }
--- a/dispatch/fixture_test.go
+++ b/dispatch/fixture_test.go
@@ -69,7 +69,7 @@
 	j.NewRequest = func() *upstream.Request {
 		req := &upstream.Request{
 			Method: http.MethodPost, URL: &url.URL{Path: "/"}, Header: http.Header{},
-			Length: int64(len(body)), MaxAnswer: 1 << 20,
+			Length: int64(len(body)), MaxResponseBytes: 1 << 20,
 		}
 		switch {
 		case class == fleet.Upload:
@@ -151,6 +151,6 @@
 func assertResponse(t *testing.T, res *upstream.Result, body string) {
 	t.Helper()
 	assert.Equal(t, res.Try, fleet.TryOK, "%v", res.Err)
-	assert.Assert(t, res.Answer != nil)
-	assert.Equal(t, string(res.Answer.Body), body)
+	assert.Assert(t, res.Response != nil)
+	assert.Equal(t, string(res.Response.Body), body)
 }
--- a/dispatch/race.go
+++ b/dispatch/race.go
@@ -47,7 +47,7 @@
 	svc         *upstream.Service
 	job         *Job
 	planned     retry.Decision
-	first       upstream.Place // target of the first try
+	first       upstream.TargetTracker // target of the first try
 	result      chan *upstream.Result
 }
 
@@ -65,6 +65,6 @@
 	res := r.send(h.ctx, nil)
 	h.result <- &res
 	if succeeded(&res) {
-		h.cancelTries(upstream.ErrGivenUp)
+		h.cancelTries(upstream.ErrAbandoned)
 	}
 }
--- a/instance/operations.go
+++ b/instance/operations.go
@@ -117,12 +117,12 @@
 	h.Set(header.RequestID, req.ID)
 	h.Set(header.OperationKey, operationKey(req))
 	return &upstream.Request{
-		Method:    req.Method,
-		URL:       &url.URL{Path: req.Path, RawQuery: req.Query},
-		Header:    h,
-		Body:      bytes.NewReader(req.Body),
-		Length:    int64(len(req.Body)),
-		MaxAnswer: route.MaxAnswer,
+		Method:           req.Method,
+		URL:              &url.URL{Path: req.Path, RawQuery: req.Query},
+		Header:           h,
+		Body:             bytes.NewReader(req.Body),
+		Length:           int64(len(req.Body)),
+		MaxResponseBytes: route.MaxAnswer,
 	}
 }
 
@@ -139,8 +139,8 @@
 	switch {
 	case dispatch.HasResponse(res):
 		out.Outcome = fleet.Completed
-		out.Answer = operation.NewCompleted(res.Answer.Status, res.Answer.Header, res.Answer.Body)
-	case res.Unrun():
+		out.Answer = operation.NewCompleted(res.Response.Status, res.Response.Header, res.Response.Body)
+	case res.NotRun():
 		out = notRun(req, http.StatusServiceUnavailable, "no target took the request: "+res.Try.String(), max(res.RetryAfter, time.Second))
 		out.Target = res.Target.ID
 	default:
--- a/pool/config.go
+++ b/pool/config.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Config bounds the connections to targets.
+// Config configures the connections to targets.
 type Config struct {
-	// DialTimeout bounds the opening of one connection. Default "250ms".
+	// DialTimeout limits the time to open one connection. Default "250ms".
 	DialTimeout time.Duration
-	// IdleTimeout closes a connection that was idle for so long. It has to be
-	// less than the targets' own, or a request may meet a connection that the
-	// target is just closing. Default "45s".
+	// IdleTimeout is the time after which an idle connection is closed. It must
+	// be shorter than the idle timeout of the targets; otherwise a request may
+	// be sent on a connection that the target is closing. Default "45s".
 	IdleTimeout time.Duration
 	// KeepAlive is the time between TCP keep-alive probes on an idle
 	// connection. Default "60s".
 	KeepAlive time.Duration
 	// ContinueTimeout is how long a request with "Expect: 100-continue" waits
-	// for the target's word before its body is sent all the same. Default "1s".
+	// for a response before its body is sent anyway. Default "1s".
 	ContinueTimeout time.Duration
-	// Warm is how many connections to each target are kept open ahead of
-	// use, within the instance's share. Default 1; -1 for none.
+	// Warm is the number of connections to each target that are kept open ahead
+	// of use, within the instance's share. Default 1; -1 for none.
 	Warm int
-	// MaxHeader bounds the header of an answer in bytes. Default 64 KiB.
+	// MaxHeader limits the size of a response header in bytes. Default 64 KiB.
 	MaxHeader int64
 	// BufferSize is the size in bytes of each connection's read buffer and
 	// of its write buffer. Default 4 KiB.
--- a/pool/conn.go
+++ b/pool/conn.go
@@ -10,10 +10,10 @@
 	"github.com/clementinereel/clementinereel/conncheck"
 )
 
-// errSealed is what a write on a sealed connection gets.
-var errSealed = errors.New("pool: the request was given up before it was sent")
+// errSealed is returned by writes on a sealed connection.
+var errSealed = errors.New("pool: try ended before the request was sent")
 
-// conn counts the writes on a connection and can refuse further ones.
+// conn counts the writes on a connection and can reject further writes.
 type conn struct {
 	net.Conn
 	opened time.Time
@@ -25,16 +25,16 @@
 	sealed bool
 }
 
-// Write counts the write before it begins: from then on the target may see
-// some of it.
+// Write counts the write before it starts, because from then on the target may
+// receive some of its bytes.
 func (c *conn) Write(b []byte) (int, error) {
-	if !c.begin() {
+	if !c.startWrite() {
 		return 0, errSealed
 	}
 	return c.Conn.Write(b)
 }
 
-func (c *conn) begin() bool {
+func (c *conn) startWrite() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.sealed {
@@ -44,21 +44,21 @@
 	return true
 }
 
-// Close closes the connection and counts it out.
+// Close closes the connection and removes it from the count of open connections.
 func (c *conn) Close() error {
 	c.once.Do(c.closed)
 	return c.Conn.Close()
 }
 
-// count is how many writes began so far.
-func (c *conn) count() uint64 {
+// writeCount returns the number of writes that have started.
+func (c *conn) writeCount() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// seal refuses all further writes if none began since the given count, and
-// tells whether it did.
+// seal rejects all further writes if none has started since the given count, and
+// reports whether that is so.
 func (c *conn) seal(since uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,6 +68,6 @@
 	return c.sealed && c.writes == since
 }
 
-// alive tells whether the peer of an unused connection has neither closed it
-// nor sent anything.
+// alive reports whether the peer of an unused connection has neither closed it
+// nor sent any data.
 func (c *conn) alive() bool { return conncheck.Reusable(c.Conn) }
--- a/pool/host.go
+++ b/pool/host.go
@@ -19,12 +19,12 @@
 	dial      func(ctx context.Context, network, addr string) (net.Conn, error)
 
 	mu sync.Mutex
-	// open counts connections: those in use, idle in the transport or ready.
+	// open is the number of connections in use, idle in the transport, ready or being dialed.
 	open int
-	// ready are connections opened ahead, which the transport hasn't seen.
+	// ready holds connections opened ahead of use and not yet passed to the transport.
 	ready   []*conn
 	retired bool
-	// checked is when the ready connections were last looked over.
+	// checked is the time of the last check for stale ready connections.
 	checked time.Time
 }
 
@@ -61,26 +61,26 @@
 	}
 }
 
-// connect hands the transport a ready connection, or dials.
+// connect returns a ready connection to the transport, or dials a new one.
 func (h *host) connect(ctx context.Context, network, addr string) (net.Conn, error) {
 	if c := h.takeReady(); c != nil {
 		return c, nil
 	}
-	h.count(1)
-	return h.open1(ctx, network, addr)
+	h.addOpen(1)
+	return h.dialCounted(ctx, network, addr)
 }
 
-// open1 opens one connection, which the caller has counted.
-func (h *host) open1(ctx context.Context, network, addr string) (*conn, error) {
+// dialCounted opens one connection, which the caller must have counted in open.
+func (h *host) dialCounted(ctx context.Context, network, addr string) (*conn, error) {
 	nc, err := h.dial(ctx, network, addr)
 	if err != nil {
-		h.count(-1)
+		h.addOpen(-1)
 		return nil, err
 	}
-	return &conn{Conn: nc, opened: time.Now(), closed: func() { h.count(-1) }}, nil
+	return &conn{Conn: nc, opened: time.Now(), closed: func() { h.addOpen(-1) }}, nil
 }
 
-func (h *host) count(d int) {
+func (h *host) addOpen(d int) {
 	h.mu.Lock()
 	h.open += d
 	h.mu.Unlock()
@@ -115,14 +115,14 @@
 	return c
 }
 
-// staleEvery is how often the ready connections are looked over.
-const staleEvery = 5 * time.Second
+// staleCheckInterval is the interval between checks for stale ready connections.
+const staleCheckInterval = 5 * time.Second
 
-// wanting drops ready connections that are dead or old, now and then, and
-// tells whether warm would open one.
-func (h *host) wanting() bool {
+// needsWarm closes dead and expired ready connections, at most once per
+// staleCheckInterval, and reports whether warm would open a connection.
+func (h *host) needsWarm() bool {
 	h.mu.Lock()
-	due := len(h.ready) > 0 && time.Since(h.checked) >= staleEvery
+	due := len(h.ready) > 0 && time.Since(h.checked) >= staleCheckInterval
 	if due {
 		h.checked = time.Now()
 	}
@@ -132,12 +132,12 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.short()
+	return h.belowWarm()
 }
 
-// short tells whether the target has fewer than Warm connections. The lock is
-// held.
-func (h *host) short() bool {
+// belowWarm reports whether the target has fewer than Warm connections. The
+// caller must hold mu.
+func (h *host) belowWarm() bool {
 	return !h.retired && h.open < min(h.cfg.Warm, h.share)
 }
 
@@ -146,7 +146,7 @@
 	if !h.reserve() {
 		return nil
 	}
-	c, err := h.open1(ctx, "tcp", h.target.Addr)
+	c, err := h.dialCounted(ctx, "tcp", h.target.Addr)
 	if err != nil {
 		return err
 	}
@@ -157,7 +157,7 @@
 func (h *host) reserve() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.short() {
+	if !h.belowWarm() {
 		return false
 	}
 	h.open++
@@ -198,7 +198,7 @@
 	}
 }
 
-// retire closes what is idle now, and what is busy as its answer ends.
+// retire closes idle connections at once and busy ones when their responses end.
 func (h *host) retire() {
 	h.mu.Lock()
 	h.retired = true
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -9,13 +9,13 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// Share is how many connections an instance may have to a target.
+// Share is the number of connections that an instance may have to a target.
 type Share struct {
 	Target      fleet.Target
 	Connections int
 }
 
-// key tells targets apart; a target's ID is unique within its service.
+// key identifies a target; a target ID is unique only within its service.
 type key struct {
 	service fleet.ServiceID
 	id      fleet.TargetID
@@ -26,8 +26,8 @@
 // Set holds the connections to all targets of an instance. It is safe for
 // concurrent use.
 type Set struct {
-	cfg   Config
-	spare *http.Transport
+	cfg      Config
+	unpooled *http.Transport
 
 	mu    sync.RWMutex
 	hosts map[key]*host
@@ -38,20 +38,20 @@
 	cfg = cfg.withDefaults()
 	s := &Set{cfg: cfg, hosts: make(map[key]*host)}
 	dial := dialer(cfg)
-	s.spare = newTransport(cfg, func(ctx context.Context, network, addr string) (net.Conn, error) {
+	s.unpooled = newTransport(cfg, func(ctx context.Context, network, addr string) (net.Conn, error) {
 		nc, err := dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
 		return &conn{Conn: nc, closed: func() {}}, nil
 	})
-	s.spare.DisableKeepAlives = true
+	s.unpooled.DisableKeepAlives = true
 	return s
 }
 
-// Update makes the Set hold exactly the given shares. Connections to targets
-// that are no longer among them are closed when idle; no request is cut. A
-// share or address that changed gets new connections.
+// Update replaces the shares of the Set. Connections to targets without a share
+// are closed once idle; running requests are not interrupted. A target whose
+// share or address changed gets new connections.
 func (s *Set) Update(shares []Share) {
 	next := make(map[key]*host, len(shares))
 	s.mu.Lock()
@@ -78,21 +78,21 @@
 	return newHost(s.cfg, sh.Target, sh.Connections)
 }
 
-// Warm brings every target that has fewer than Config.Warm connections one
-// nearer to it, a few at a time, until ctx is done. Call it once a tick. It
-// returns the targets to which no connection came about.
+// Warm opens one connection to every target that has fewer than Config.Warm
+// connections, with at most maxWarmDials dials at a time. Call it once per tick.
+// It returns the targets for which dialing failed.
 func (s *Set) Warm(ctx context.Context) []fleet.Target {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var failed []fleet.Target
-	places := make(chan struct{}, warmDials)
+	slots := make(chan struct{}, maxWarmDials)
 	for _, h := range s.snapshot() {
-		if !h.wanting() {
+		if !h.needsWarm() {
 			continue
 		}
-		places <- struct{}{}
+		slots <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			if h.warm(ctx) != nil {
 				mu.Lock()
 				failed = append(failed, h.target)
@@ -104,17 +104,17 @@
 	return failed
 }
 
-// warmDials bounds the connections that Warm opens at once.
-const warmDials = 8
+// maxWarmDials limits the concurrent dials of Warm.
+const maxWarmDials = 8
 
-// snapshot returns the hosts; the map is replaced, never changed.
+// snapshot returns the hosts; the map is replaced, never modified.
 func (s *Set) snapshot() map[key]*host {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.hosts
 }
 
-// Open is how many connections the Set holds to targets it has a share of.
+// Open returns the number of connections to targets with a share.
 func (s *Set) Open() int {
 	n := 0
 	for _, h := range s.snapshot() {
@@ -123,17 +123,18 @@
 	return n
 }
 
-// Close closes every connection that is idle; busy ones close as they end.
+// Close closes idle connections at once and busy ones when their responses end.
 func (s *Set) Close() { s.Update(nil) }
 
-// RoundTripper sends requests to the target, whatever their URL's host. A
-// target of which the Set has no share gets a connection for one request.
+// RoundTripper returns a RoundTripper that sends requests to the target,
+// whatever the host of their URL. For a target without a share, each request
+// uses a new connection.
 func (s *Set) RoundTripper(t fleet.Target) http.RoundTripper {
 	s.mu.RLock()
 	h := s.hosts[keyOf(t)]
 	s.mu.RUnlock()
 	if h == nil {
-		return roundTripper{s.spare, t.Addr}
+		return roundTripper{s.unpooled, t.Addr}
 	}
 	return roundTripper{h.transport, h.target.Addr}
 }
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -20,49 +20,49 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// rawTarget answers the n-th request of each connection by answers[n]; after
-// the last, or at "", it closes the connection without an answer.
+// rawTarget responds to the n-th request of each connection with responses[n];
+// after the last, or at "", it closes the connection without a response.
 type rawTarget struct {
 	fleet.Target
 	requests, conns, open atomic.Int32
-	heads                 chan *http.Request
-	// gate, if set, holds back all answers until it is closed.
+	received              chan *http.Request
+	// gate, if set, delays all responses until it is closed.
 	gate chan struct{}
 }
 
-func newRawTarget(t testing.TB, answers ...string) *rawTarget {
+func newRawTarget(t testing.TB, responses ...string) *rawTarget {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { l.Close() })
-	rt := &rawTarget{Target: fleet.Target{ID: "t", Addr: l.Addr().String()}, heads: make(chan *http.Request, 1000)}
+	rt := &rawTarget{Target: fleet.Target{ID: "t", Addr: l.Addr().String()}, received: make(chan *http.Request, 1000)}
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go rt.serve(c, answers)
+			go rt.serve(c, responses)
 		}
 	}()
 	return rt
 }
 
-func (rt *rawTarget) serve(c net.Conn, answers []string) {
+func (rt *rawTarget) serve(c net.Conn, responses []string) {
 	rt.conns.Add(1)
 	rt.open.Add(1)
 	defer rt.open.Add(-1)
 	defer c.Close()
 	r := bufio.NewReader(c)
-	for _, a := range append(answers, "") {
+	for _, a := range append(responses, "") {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
 		io.Copy(io.Discard, req.Body)
 		rt.requests.Add(1)
-		rt.heads <- req
+		rt.received <- req
 		if rt.gate != nil {
 			<-rt.gate
 		}
@@ -102,7 +102,7 @@
 	return req
 }
 
-var repeatable = map[string]func() *http.Request{
+var retryableRequests = map[string]func() *http.Request{
 	"get":                           func() *http.Request { return newRequest("GET", "") },
 	"post, key, body with GetBody":  func() *http.Request { return newRequest("POST", "body", "Idempotency-Key") },
 	"post, key, no body":            func() *http.Request { return newRequest("POST", "", "Idempotency-Key") },
@@ -111,12 +111,13 @@
 	"options with the star for all": func() *http.Request { return newRequest("OPTIONS", "") },
 }
 
-// The target answers once and closes the reused connection after it read the
-// second request. The plain transport sends that one again; the Set doesn't.
-func TestNothingIsSentTwice(t *testing.T) {
-	for name, request := range repeatable {
+// TestNoRequestIsSentTwice uses a target that responds once and closes the reused
+// connection after reading the second request. A plain transport retries that
+// request; the Set must not.
+func TestNoRequestIsSentTwice(t *testing.T) {
+	for name, request := range retryableRequests {
 		t.Run(name, func(t *testing.T) {
-			plain := newRawTarget(t, whole)
+			plain := newRawTarget(t, okResponse)
 			transport := &http.Transport{}
 			defer transport.CloseIdleConnections()
 			for range 2 {
@@ -126,7 +127,7 @@
 			}
 			assert.Equal(t, plain.requests.Load(), int32(3), "the fault must be one that the plain transport repeats at")
 
-			target := newRawTarget(t, whole)
+			target := newRawTarget(t, okResponse)
 			rt := newSet(t, Config{}, target.Target, 4).RoundTripper(target.Target)
 			_, err := do(rt, request())
 			assert.NilError(t, err)
@@ -134,10 +135,10 @@
 			assert.Equal(t, Classify(err, tr), fleet.TryReset)
 			assert.Assert(t, tr.Sent())
 			assert.Equal(t, target.requests.Load(), int32(2))
-			head := <-target.heads
+			head := <-target.received
 			assert.Equal(t, head.Host, "service")
 			assert.Equal(t, head.Header.Get("Idempotency-Key"), request().Header.Get("Idempotency-Key"))
-			assert.Equal(t, len(head.TransferEncoding), 0, "a body stays of known length")
+			assert.Equal(t, len(head.TransferEncoding), 0, "the length of the body must stay known")
 		})
 	}
 }
@@ -147,7 +148,7 @@
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	l.Close()
 	refused := fleet.Target{ID: "t", Addr: l.Addr().String()}
-	silent := newRawTarget(t, " ") // neither answers nor closes
+	silent := newRawTarget(t, " ") // never completes a response and never closes
 	cut := newRawTarget(t, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok")
 	huge := newRawTarget(t, "HTTP/1.1 200 OK\r\nX: "+strings.Repeat("x", 100<<10)+"\r\n\r\n")
 	short := func() (context.Context, func()) {
@@ -167,9 +168,9 @@
 		sent   bool
 	}{
 		{"refused", refused, long, fleet.TryDialFailed, false},
-		{"closed unanswered", closed.Target, long, fleet.TryReset, true},
+		{"closed without response", closed.Target, long, fleet.TryReset, true},
 		{"silent", silent.Target, short, fleet.TryTimeout, true},
-		{"given up by the caller", silent.Target, canceled, fleet.TryCanceled, true},
+		{"canceled by the caller", silent.Target, canceled, fleet.TryCanceled, true},
 		{"cut", cut.Target, short, fleet.TryTimeout, true},
 		{"header too large", huge.Target, long, fleet.TryTruncated, true},
 	} {
@@ -183,7 +184,7 @@
 	}
 }
 
-func TestAnswerCutInTheMiddle(t *testing.T) {
+func TestTruncatedResponse(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "9")
 		io.WriteString(w, "ok")
@@ -203,8 +204,9 @@
 	return 0, io.EOF
 }
 
-// A target that sheds on the header alone costs no body: it can go elsewhere.
-func TestExpectedContinueKeepsTheBody(t *testing.T) {
+// TestExpectContinueLeavesBodyUnread checks that a target that sheds a request on
+// its header alone leaves the body unread, so that another target can get it.
+func TestExpectContinueLeavesBodyUnread(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }))
 	defer srv.Close()
 	target := fleet.Target{ID: "t", Addr: srv.Listener.Addr().String()}
@@ -217,9 +219,10 @@
 	assert.Equal(t, body.read.Load(), int32(0))
 }
 
-// A write that the transport has still under way when the try is given up
-// must not reach the target after Sent said that nothing was sent.
-func TestSentIsFinal(t *testing.T) {
+// TestNoWriteAfterSentReturnsFalse checks that a write still pending in the
+// transport when the try is canceled does not reach the target after Sent has
+// returned false.
+func TestNoWriteAfterSentReturnsFalse(t *testing.T) {
 	a, b := net.Pipe()
 	defer b.Close()
 	c := &conn{Conn: a, closed: func() {}}
@@ -231,13 +234,13 @@
 	assert.Equal(t, Classify(context.DeadlineExceeded, tr), fleet.TryDialFailed)
 }
 
-func TestFullShareSpeaksNotAgainstTheTarget(t *testing.T) {
+func TestFullShareIsNotHeldAgainstTarget(t *testing.T) {
 	target := newRawTarget(t, " ")
 	rt := newSet(t, Config{}, target.Target, 1).RoundTripper(target.Target)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go do(rt, newRequest("POST", "body").WithContext(ctx))
-	<-target.heads
+	<-target.received
 	short, done := context.WithTimeout(ctx, 20*time.Millisecond)
 	defer done()
 	tr, err := do(rt, newRequest("POST", "body").WithContext(short))
@@ -256,7 +259,7 @@
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(time.Millisecond))
 }
 
-func TestLeavingTargetKeepsNoConnection(t *testing.T) {
+func TestRemovedTargetKeepsNoConnection(t *testing.T) {
 	release := make(chan struct{})
 	var open atomic.Int32
 	srv := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -280,21 +283,21 @@
 		_, err := do(s.RoundTripper(target), newRequest("GET", ""))
 		result <- err
 	}()
-	until(t, "request under way", func() bool { return open.Load() == 1 })
+	until(t, "request in progress", func() bool { return open.Load() == 1 })
 	s.Warm(t.Context())
-	until(t, "a warm connection beside", func() bool { return open.Load() == 2 })
+	until(t, "a warm connection in addition", func() bool { return open.Load() == 2 })
 	s.Update(nil)
-	until(t, "only the busy one left", func() bool { return open.Load() == 1 })
+	until(t, "only the busy connection open", func() bool { return open.Load() == 1 })
 	close(release)
 	assert.NilError(t, <-result)
-	until(t, "none left", func() bool { return open.Load() == 0 })
+	until(t, "no connection open", func() bool { return open.Load() == 0 })
 	_, err := do(s.RoundTripper(target), newRequest("GET", ""))
 	assert.NilError(t, err)
-	until(t, "a spare one isn't kept", func() bool { return open.Load() == 0 })
+	until(t, "the connection of a target without a share closed", func() bool { return open.Load() == 0 })
 }
 
 func TestWarmConnectionsAreUsedAndReplaced(t *testing.T) {
-	target := newRawTarget(t, whole)
+	target := newRawTarget(t, okResponse)
 	s := newSet(t, Config{}, target.Target, 4)
 	assert.Equal(t, len(s.Warm(t.Context())), 0)
 	s.Warm(t.Context())
@@ -311,7 +314,7 @@
 	s = newSet(t, Config{}, closing.Target, 4)
 	s.Warm(t.Context())
 	h := s.snapshot()[keyOf(closing.Target)]
-	h.ready[0].Conn.(*net.TCPConn).CloseRead() // as if the target had closed it
+	h.ready[0].Conn.(*net.TCPConn).CloseRead() // looks as if the target had closed it
 	assert.Assert(t, h.takeReady() == nil)
 	assert.Equal(t, s.Open(), 0)
 }
@@ -323,13 +326,13 @@
 	h := s.snapshot()[keyOf(target.Target)]
 	dead := h.ready[0]
 	dead.Conn.(*net.TCPConn).CloseRead()
-	h.checked = time.Now().Add(-staleEvery)
+	h.checked = time.Now().Add(-staleCheckInterval)
 	s.Warm(t.Context())
 	assert.Equal(t, s.Open(), 1)
 	assert.Assert(t, h.ready[0] != dead)
 }
 
-// BenchmarkRoundTrip gives the cost of the Set over the plain transport.
+// BenchmarkRoundTrip measures the overhead of the Set over a plain transport.
 func BenchmarkRoundTrip(b *testing.B) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }))
 	defer srv.Close()
@@ -350,9 +353,9 @@
 	}
 }
 
-// BenchmarkWarmConnection gives the memory of the instance's end of an idle
+// BenchmarkWarmConnection measures the memory of the instance's end of an idle
 // connection that has carried a request. The target's end runs in the same
-// process: what plain connections to it take is subtracted.
+// process, so the memory of plain connections to it is subtracted.
 func BenchmarkWarmConnection(b *testing.B) {
 	const conns = 400
 	for _, size := range []int{512, 4 << 10} {
@@ -367,7 +370,7 @@
 }
 
 func useConnections(b *testing.B, bufferSize, conns int) {
-	target := newRawTarget(b, whole, whole)
+	target := newRawTarget(b, okResponse, okResponse)
 	target.gate = make(chan struct{})
 	rt := newSet(b, Config{BufferSize: bufferSize}, target.Target, conns).RoundTripper(target.Target)
 	done := make(chan error)
@@ -378,7 +381,7 @@
 		}()
 	}
 	for range conns {
-		<-target.heads
+		<-target.received
 	}
 	close(target.gate)
 	for range conns {
@@ -387,13 +390,13 @@
 }
 
 func plainConnections(b *testing.B, conns int) {
-	target := newRawTarget(b, whole, whole)
+	target := newRawTarget(b, okResponse, okResponse)
 	for range conns {
 		c, err := net.Dial("tcp", target.Addr)
 		assert.NilError(b, err)
 		b.Cleanup(func() { c.Close() })
 		assert.NilError(b, newRequest("GET", "").Write(c))
-		<-target.heads
+		<-target.received
 	}
 }
 
@@ -411,8 +414,8 @@
 	return m.HeapInuse + m.StackInuse
 }
 
-// BenchmarkWarmSteady gives the cost of Warm when every target has its warm
-// connection, by the number of targets.
+// BenchmarkWarmSteady measures the cost of Warm when every target has its warm
+// connection, by number of targets.
 func BenchmarkWarmSteady(b *testing.B) {
 	target := newRawTarget(b)
 	for _, n := range []int{31, 1000} {
--- a/pool/roundtrip.go
+++ b/pool/roundtrip.go
@@ -12,16 +12,16 @@
 	addr      string
 }
 
-// RoundTrip sends the request once. The caller's request isn't changed.
+// RoundTrip sends the request once. The caller's request is not modified.
 func (rt roundTripper) RoundTrip(req *http.Request) (*http.Response, error) {
-	return rt.transport.RoundTrip(once(req, rt.addr))
+	return rt.transport.RoundTrip(withoutRetry(req, rt.addr))
 }
 
-// once returns a copy of the request that http.Transport never repeats by
-// itself: without GetBody, with a body that isn't known to be empty where the
-// method is one that it repeats, and without the header by which it takes a
-// request for repeatable. The header is sent all the same, in lower case.
-func once(req *http.Request, addr string) *http.Request {
+// withoutRetry returns a copy of the request that http.Transport never retries
+// itself: without GetBody, with a body not known to be empty if the method is
+// one that it retries, and without the headers that mark a request as
+// retryable. These headers are still sent, in lower case.
+func withoutRetry(req *http.Request, addr string) *http.Request {
 	r := *req
 	u := *req.URL
 	u.Scheme, u.Host = "http", addr
@@ -37,16 +37,16 @@
 	return &r
 }
 
-// repeatHeaders mark a request as repeatable to http.Transport, which looks
-// for them in canonical case only.
-var repeatHeaders = map[string]string{
+// retryHeaders maps the headers that mark a request as retryable to
+// http.Transport, which checks canonical case only, to their lower case.
+var retryHeaders = map[string]string{
 	"Idempotency-Key":   "idempotency-key",
 	"X-Idempotency-Key": "x-idempotency-key",
 }
 
 func lowerKeys(h http.Header) http.Header {
 	cloned := false
-	for canonical, lower := range repeatHeaders {
+	for canonical, lower := range retryHeaders {
 		v, ok := h[canonical]
 		if !ok {
 			continue
@@ -60,14 +60,14 @@
 	return h
 }
 
-// setEmptyBody gives the request a body of which http.Transport doesn't know
-// that it is empty, for the methods that it repeats; others keep their
-// Content-Length: 0. The encoding keeps http.Transport from finding out, which
-// costs a goroutine and a timer; it writes no header for it.
+// setEmptyBody sets a body that http.Transport does not recognize as empty, for
+// the methods that it retries; others keep their Content-Length: 0. The identity
+// encoding keeps http.Transport from probing the body, which costs a goroutine
+// and a timer; no header is written for it.
 func setEmptyBody(r *http.Request) {
 	switch r.Method {
 	case "", http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
-		r.Body = opaque{}
+		r.Body = opaqueBody{}
 		r.TransferEncoding = identity
 	default:
 		r.Body = nil
@@ -76,10 +76,10 @@
 
 var identity = []string{"identity"}
 
-type opaque struct{}
+type opaqueBody struct{}
 
-func (opaque) Read([]byte) (int, error) { return 0, io.EOF }
-func (opaque) Close() error             { return nil }
+func (opaqueBody) Read([]byte) (int, error) { return 0, io.EOF }
+func (opaqueBody) Close() error             { return nil }
 
-// WriteTo spares http.Transport a buffer to copy nothing.
-func (opaque) WriteTo(io.Writer) (int64, error) { return 0, nil }
+// WriteTo saves http.Transport the allocation of a copy buffer.
+func (opaqueBody) WriteTo(io.Writer) (int64, error) { return 0, nil }
--- a/pool/trace.go
+++ b/pool/trace.go
@@ -11,26 +11,26 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// Trace follows one request through a Set. Use a new one for each try.
+// Trace records the progress of one request through a Set. Use a new one for each try.
 type Trace struct {
-	mu       sync.Mutex
-	conn     *conn
-	since    uint64
-	dialErr  bool
-	dialing  bool
-	answered bool
-	sent     bool
+	mu           sync.Mutex
+	conn         *conn
+	writesBefore uint64
+	dialErr      bool
+	dialing      bool
+	gotResponse  bool
+	sent         bool
 }
 
-// With returns a context whose request the trace follows.
+// With returns a context for the request to trace.
 func (t *Trace) With(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		ConnectStart:         func(_, _ string) { t.set(func() { t.dialing = true }) },
 		ConnectDone:          func(_, _ string, err error) { t.set(func() { t.dialing, t.dialErr = false, err != nil }) },
 		GotConn:              func(i httptrace.GotConnInfo) { t.gotConn(i.Conn) },
-		GotFirstResponseByte: func() { t.set(func() { t.answered = true }) },
-		// The target's word to go on is no part of its answer.
-		Got100Continue: func() { t.set(func() { t.answered = false }) },
+		GotFirstResponseByte: func() { t.set(func() { t.gotResponse = true }) },
+		// A 100 Continue response is not part of the final response.
+		Got100Continue: func() { t.set(func() { t.gotResponse = false }) },
 	})
 }
 
@@ -46,20 +46,20 @@
 	t.sent = t.sent || t.wrote()
 	c, ok := nc.(*conn)
 	if !ok {
-		t.sent = true // not one of ours: nothing can be said for sure
+		t.sent = true // not opened by a Set: writes are not counted
 		return
 	}
-	t.conn, t.since = c, c.count()
+	t.conn, t.writesBefore = c, c.writeCount()
 }
 
-// wrote tells whether a write began on the present connection. If none did,
-// none will: the connection is sealed.
+// wrote reports whether a write has started on the current connection. If not,
+// it seals the connection, so that none can start later.
 func (t *Trace) wrote() bool {
-	return t.conn != nil && !t.conn.seal(t.since)
+	return t.conn != nil && !t.conn.seal(t.writesBefore)
 }
 
-// Sent tells whether the target can have seen any byte of the request. Call
-// it when the try is over: if nothing was sent by then, nothing will be.
+// Sent reports whether the target can have received any byte of the request.
+// Call it after the try has ended: if nothing was sent by then, nothing will be.
 func (t *Trace) Sent() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,9 +67,9 @@
 	return t.sent
 }
 
-// Classify tells how a try ended that failed with err, either in the round
-// trip or while its answer was read. TryDialFailed is certain: nothing was
-// sent. For any other result the trace's Sent tells. A nil err is TryOK.
+// Classify returns the result of a try that ended with err, either in the round
+// trip or while its response was read. TryDialFailed guarantees that nothing was
+// sent; for any other result, see Trace.Sent. A nil err is TryOK.
 func Classify(err error, t *Trace) fleet.TryResult {
 	if err == nil {
 		return fleet.TryOK
@@ -84,24 +84,24 @@
 		return fleet.TryDialFailed
 	case isTimeout(err):
 		return fleet.TryTimeout
-	case t.gotAnswer():
+	case t.hasResponse():
 		return fleet.TryTruncated
 	}
 	return fleet.TryReset
 }
 
-// neverDialed tells whether the request got neither a connection nor an
-// attempt at one: the instance's own share was in use.
+// neverDialed reports whether the request neither got a connection nor started
+// to dial one because all connections of the instance's share were in use.
 func (t *Trace) neverDialed() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.conn == nil && !t.dialing && !t.dialErr
 }
 
-func (t *Trace) gotAnswer() bool {
+func (t *Trace) hasResponse() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.answered
+	return t.gotResponse
 }
 
 func isTimeout(err error) bool {
--- a/proxy/answer.go
+++ b/proxy/answer.go
@@ -17,7 +17,7 @@
 const retryLater = time.Second
 
 // answer passes a target's whole answer on to the caller.
-func (h *Handler) answer(x *exchange, a *upstream.Answer) {
+func (h *Handler) answer(x *exchange, a *upstream.Response) {
 	h.log.answered(x, a.Status)
 	h.write(x, a.Status, a.Header, a.Body)
 }
--- a/proxy/lookup.go
+++ b/proxy/lookup.go
@@ -31,5 +31,5 @@
 		h.refuse(x, tryProblem(res))
 		return
 	}
-	h.answer(x, res.Answer)
+	h.answer(x, res.Response)
 }
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -28,10 +28,10 @@
 
 func (x *exchange) request() *upstream.Request {
 	return &upstream.Request{
-		Method:    x.r.Method,
-		URL:       x.r.URL,
-		Header:    x.r.Header,
-		ID:        x.id,
-		MaxAnswer: x.route.MaxAnswer,
+		Method:           x.r.Method,
+		URL:              x.r.URL,
+		Header:           x.r.Header,
+		ID:               x.id,
+		MaxResponseBytes: x.route.MaxAnswer,
 	}
 }
--- a/proxy/upload.go
+++ b/proxy/upload.go
@@ -17,7 +17,7 @@
 	}
 	defer x.release()
 	res := h.dispatch(ctx, x, x.streamedRequest)
-	if res.BodyErr != nil && res.Answer == nil {
+	if res.BodyErr != nil && res.Response == nil {
 		h.refuse(x, bodyProblem(res.BodyErr))
 		return
 	}
--- a/upstream/body.go
+++ b/upstream/body.go
@@ -8,24 +8,24 @@
 	"github.com/clementinereel/clementinereel/fleet"
 )
 
-// onceBody is a request's body on its way to one target. It hides what kind
-// of reader it is, so that the transport can neither rewind it nor send the
-// request a second time on its own, and remembers whether it was begun. Once
-// its try is over it gives nothing more: a transport that begins to send late
-// must not take bytes that are meant for another target.
+// onceBody wraps a request body for a single try. It hides the type of the
+// underlying reader, so that the transport can neither rewind the body nor
+// retry the request itself, and records whether reading has started. After the
+// try has ended, Read fails: a transport that starts sending late must not
+// consume bytes that are meant for another target.
 type onceBody struct {
 	r io.Reader
 
-	mu    sync.Mutex
-	begun bool
-	over  bool
-	err   error
+	mu       sync.Mutex
+	started  bool
+	finished bool
+	err      error
 }
 
 // Read implements io.Reader.
 func (b *onceBody) Read(p []byte) (int, error) {
-	if !b.begin() {
-		return 0, ErrGivenUp
+	if !b.start() {
+		return 0, ErrAbandoned
 	}
 	n, err := b.r.Read(p)
 	if err != nil && !errors.Is(err, io.EOF) {
@@ -36,28 +36,29 @@
 	return n, err
 }
 
-func (b *onceBody) begin() bool {
+func (b *onceBody) start() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.over {
+	if b.finished {
 		return false
 	}
-	b.begun = true
+	b.started = true
 	return true
 }
 
-// Close implements io.Closer. The body belongs to the caller.
+// Close implements io.Closer. It does nothing: the caller owns the body.
 func (b *onceBody) Close() error { return nil }
 
-// conclude ends the body and adds to its try's result what became of it. A body that broke
-// off at the caller's side says nothing of the target.
-func (b *onceBody) conclude(res *Result, oneBody bool) {
+// finish disables further reads and records the state of the body in the
+// result of its try. If reading the caller's body failed and there is no
+// response, the try counts as canceled: the failure is no evidence about the target.
+func (b *onceBody) finish(res *Result, oneBody bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.over = true
-	res.BodyUsed = oneBody && b.begun
+	b.finished = true
+	res.BodyUsed = oneBody && b.started
 	res.BodyErr = b.err
-	if b.err != nil && res.Answer == nil {
+	if b.err != nil && res.Response == nil {
 		res.Try = fleet.TryCanceled
 	}
 }
--- a/upstream/body_test.go
+++ b/upstream/body_test.go
@@ -8,32 +8,32 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestBodyGivesNothingAfterItsTry reads a body late, as a transport does that
-// waited for the target's word while the try ended.
-func TestBodyGivesNothingAfterItsTry(t *testing.T) {
+// TestBodyUnreadableAfterTry reads a body after its try has ended, as a
+// transport does if the try ends while it waits for a 100 Continue response.
+func TestBodyUnreadableAfterTry(t *testing.T) {
 	caller := strings.NewReader("body")
 	late := &onceBody{r: caller}
 	var res Result
-	late.conclude(&res, true)
+	late.finish(&res, true)
 	assert.Assert(t, !res.BodyUsed)
 	_, err := io.ReadAll(late)
-	assert.ErrorIs(t, err, ErrGivenUp)
+	assert.ErrorIs(t, err, ErrAbandoned)
 	got, err := io.ReadAll(&onceBody{r: caller})
 	assert.NilError(t, err)
 	assert.Equal(t, string(got), "body")
 }
 
-// TestBegunBodyIsUsed counts a body as used before its first byte came: it
-// may come at any moment.
-func TestBegunBodyIsUsed(t *testing.T) {
-	begun := make(chan struct{})
+// TestStartedBodyIsUsed checks that a body counts as used once a read has
+// started, even if no byte has arrived: one may arrive at any moment.
+func TestStartedBodyIsUsed(t *testing.T) {
+	started := make(chan struct{})
 	caller, sender := io.Pipe()
 	defer sender.Close()
-	b := &onceBody{r: readerFunc(func(p []byte) (int, error) { close(begun); return caller.Read(p) })}
+	b := &onceBody{r: readerFunc(func(p []byte) (int, error) { close(started); return caller.Read(p) })}
 	go func() { _, _ = b.Read(make([]byte, 1)) }()
-	<-begun
+	<-started
 	var res Result
-	b.conclude(&res, true)
+	b.finish(&res, true)
 	assert.Assert(t, res.BodyUsed)
 }
 
--- a/upstream/service.go
+++ b/upstream/service.go
@@ -16,8 +16,8 @@
 	"github.com/clementinereel/clementinereel/wait"
 )
 
-// Service is the runtime state of one service at this instance: which targets
-// may be chosen, what is known of their health, and how much work is let in.
+// Service is the runtime state of one service at this instance: its eligible
+// targets, their health, and its admission queues.
 type Service struct {
 	ID       fleet.ServiceID
 	via      Via
@@ -27,18 +27,18 @@
 	budget   *retry.Budget
 	gates    [len(classes)]*admission.Queue
 
-	// used tells that a request came since the last Rebalance.
+	// used reports whether a request arrived since the last Rebalance.
 	used atomic.Bool
 
-	// The tick alone uses what follows.
-	settings  *contract.Service
-	config    balancer.Config
-	targets   []fleet.Target
-	seen      *outlier.Snapshot
-	members   balancer.Members
-	slots     int
-	instances int
-	// shares are this instance's parts of the traffic by class.
+	// The fields below are used only under Set.mu, by Update, Tick and Rebalance.
+	settings   *contract.Service
+	config     balancer.Config
+	targets    []fleet.Target
+	lastHealth *outlier.Snapshot
+	members    balancer.Members
+	slots      int
+	instances  int
+	// shares holds this instance's share of the traffic per class, from 0 to 1.
 	shares [len(classes)]float64
 }
 
@@ -64,62 +64,62 @@
 // Gate returns the admission queue of a class.
 func (s *Service) Gate(c fleet.Class) *admission.Queue { return s.gates[c-fleet.Lookup] }
 
-// Budget returns the bound on further tries.
+// Budget returns the retry budget.
 func (s *Service) Budget() *retry.Budget { return s.budget }
 
-// Health returns what is known of the targets.
+// Health returns a snapshot of the health of the targets.
 func (s *Service) Health() *outlier.Snapshot { return s.health.Snapshot() }
 
-// Expected is the latency to be expected of a try, 0 if nothing is known yet.
-func (s *Service) Expected(c fleet.Class) time.Duration { return s.Gate(c).Stats().Latency }
+// ExpectedLatency returns the expected latency of a try, 0 if there is no estimate yet.
+func (s *Service) ExpectedLatency(c fleet.Class) time.Duration { return s.Gate(c).Stats().Latency }
 
-// HasMore tells whether more than n targets can be chosen.
+// HasMore reports whether more than n targets are eligible.
 func (s *Service) HasMore(n int) bool { return s.balancer.Picker().Len() > n }
 
-// Place tells where a running try is. It is safe for concurrent use.
-type Place struct {
+// TargetTracker tracks the target of a running try. It is safe for concurrent use.
+type TargetTracker struct {
 	id atomic.Pointer[fleet.TargetID]
 }
 
-// Target is the target that was chosen last, "" before the first.
-func (p *Place) Target() fleet.TargetID {
+// Target returns the target picked last, "" if none has been picked.
+func (p *TargetTracker) Target() fleet.TargetID {
 	if id := p.id.Load(); id != nil {
 		return *id
 	}
 	return ""
 }
 
-func (p *Place) set(id fleet.TargetID) {
+func (p *TargetTracker) set(id fleet.TargetID) {
 	if p == nil {
 		return
 	}
-	chosen := id // not id: it would cost an allocation without a Place, too
+	chosen := id // a copy, so that id does not escape to the heap if p is nil
 	p.id.Store(&chosen)
 }
 
-// Send searches for a target that takes the request and returns how the try
-// ended there. Targets that shed the request are passed over for as long as
-// the balancer is patient; newRequest makes the request anew for each of
-// them. Place, if not nil, is told of each choice. A result without Target
-// means that no target could be chosen.
-func (s *Service) Send(ctx context.Context, class fleet.Class, search *balancer.Search, place *Place, newRequest func() *Request) Result {
+// Send searches for a target that accepts the request and returns the result
+// of the try there. It skips targets that shed the request until the balancer
+// ends the search; newRequest creates the request for each target. If tracker is
+// not nil, it is updated with each picked target. A result without Target means
+// that no target could be picked.
+func (s *Service) Send(ctx context.Context, class fleet.Class, search *balancer.Search, tracker *TargetTracker, newRequest func() *Request) Result {
 	s.used.Store(true)
-	begun := time.Now()
+	start := time.Now()
 	last := Result{Try: fleet.TryDialFailed, Err: ErrNoTarget}
 	for {
 		var pause time.Duration
 		var again bool
 		pick, ok := s.balancer.Picker().Pick(balancer.PickInfo{Tried: search.Tried, Class: class, Now: time.Now()})
 		if !ok {
-			pause, again = s.balancer.Exhausted(search, time.Since(begun))
+			pause, again = s.balancer.Exhausted(search, time.Since(start))
 		} else {
-			place.set(pick.Target.ID)
+			tracker.set(pick.Target.ID)
 			last = s.try(ctx, class, pick, newRequest())
 			if last.Try != fleet.TryShed || last.BodyUsed {
 				search.Tried.Add(pick.Target.ID)
 				return last
 			}
-			pause, again = s.balancer.Refused(search, pick, time.Since(begun))
+			pause, again = s.balancer.Refused(search, pick, time.Since(start))
 		}
 		if !again || !wait.For(ctx, pause) {
 			return last
@@ -127,7 +127,7 @@
 	}
 }
 
-// try sends the request to the picked target and records how it ended.
+// try sends the request to the picked target and records the result.
 func (s *Service) try(ctx context.Context, class fleet.Class, pick balancer.Pick, req *Request) Result {
 	watch := s.health.Start(pick.Target.ID, time.Now())
 	res := Try(ctx, s.pool.RoundTripper(pick.Target), s.via, pick.Target, req)
--- a/upstream/set.go
+++ b/upstream/set.go
@@ -15,21 +15,21 @@
 	"github.com/clementinereel/clementinereel/publication"
 )
 
-// Env is what all services of an instance share.
+// Env holds the dependencies that all services of an instance share.
 type Env struct {
 	Via  Via
 	Pool *pool.Set
-	// Evidence judges the targets. Its Tick runs before that of the Set.
+	// Evidence estimates the health of the targets. Its Tick must run before Set.Tick.
 	Evidence *evidence.Table
-	// Seed makes this instance's random choices differ from others'.
+	// Seed makes random choices differ between instances.
 	Seed uint64
 }
 
 // Seed returns a random seed.
 func Seed() uint64 { return new(maphash.Hash).Sum64() }
 
-// Set holds the services of all contracts in force. Its table is owned by the
-// goroutine that calls Update and Tick; requests read a snapshot.
+// Set holds the services of all contracts in force. Update and Tick replace
+// the table of services; requests read a snapshot of it.
 type Set struct {
 	env      Env
 	mu       sync.Mutex // serializes Update and Tick
@@ -43,17 +43,17 @@
 	return s
 }
 
-// Service returns a service, nil if no contract in force has it or it never
-// had a target.
+// Service returns a service, or nil if no contract in force defines it or it
+// has never had a target.
 func (s *Set) Service(id fleet.ServiceID) *Service {
 	return (*s.services.Load())[id]
 }
 
-// All returns the services of all contracts in force that have targets. The map must not be
-// changed.
+// All returns the services of all contracts in force, without those that have
+// never had a target. The map must not be modified.
 func (s *Set) All() map[fleet.ServiceID]*Service { return *s.services.Load() }
 
-// Update follows the contracts and targets in force.
+// Update applies the contracts and targets in force.
 func (s *Set) Update(now time.Time, v *publication.View, members balancer.Members) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +63,7 @@
 		for i := range p.Contract.Services {
 			cs := &p.Contract.Services[i]
 			id := fleet.NewServiceID(customer, cs.Name)
-			if svc := s.follow(now, old[id], id, cs, v.Targets[id], members); svc != nil {
+			if svc := s.updateService(now, old[id], id, cs, v.Targets[id], members); svc != nil {
 				next[id] = svc
 			}
 		}
@@ -74,11 +74,11 @@
 		}
 	}
 	s.services.Store(&next)
-	s.share()
+	s.updatePool()
 }
 
-// share gives the pool this instance's shares of all targets' connections.
-func (s *Set) share() {
+// updatePool sets this instance's updatePool of the connections of each target in the pool.
+func (s *Set) updatePool() {
 	var shares []pool.Share
 	for _, svc := range *s.services.Load() {
 		svc.balancer.Picker().Connections(func(t fleet.Target, connections int) {
@@ -88,13 +88,14 @@
 	s.env.Pool.Update(shares)
 }
 
-// follow brings one service in line with its contract and targets. A service
-// that never had a target is nil: contracts may name many of them.
-func (s *Set) follow(now time.Time, svc *Service, id fleet.ServiceID, cs *contract.Service, ts []fleet.Target, members balancer.Members) *Service {
+// updateService applies the contract and targets of one service. It returns nil
+// for a service that has never had a target, because contracts may define many
+// of them.
+func (s *Set) updateService(now time.Time, svc *Service, id fleet.ServiceID, cs *contract.Service, ts []fleet.Target, members balancer.Members) *Service {
 	if svc == nil && len(ts) == 0 {
 		return nil
 	}
-	if svc != nil && svc.settings == cs && same(svc.targets, ts) {
+	if svc != nil && svc.settings == cs && sameSlice(svc.targets, ts) {
 		return svc
 	}
 	health := s.env.Evidence.Set(id, outlier.FromContract(*cs), ts)
@@ -103,17 +104,17 @@
 	}
 	svc.settings = cs
 	svc.targets = ts
-	svc.seen = nil
+	svc.lastHealth = nil
 	svc.tick(now, members)
 	return svc
 }
 
-// same tells whether two lists that are never changed are one.
-func same(a, b []fleet.Target) bool {
+// sameSlice reports whether two immutable slices share their storage.
+func sameSlice(a, b []fleet.Target) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// Tick rebuilds the choice of targets by what is known of their health.
+// Tick rebuilds the pickers from the current health of the targets.
 func (s *Set) Tick(now time.Time, members balancer.Members) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,27 +126,27 @@
 		}
 	}
 	if changed {
-		s.share()
+		s.updatePool()
 	}
 }
 
-// tick rebuilds the choice among the service's targets if what it follows
-// from has changed, and tells whether it has.
+// tick rebuilds the service's picker if the health of its targets or the members
+// have changed, and reports whether it did.
 func (s *Service) tick(now time.Time, members balancer.Members) bool {
 	for _, g := range s.gates {
 		g.Tick()
 	}
 	h := s.health.Snapshot()
-	if h == s.seen && members == s.members {
+	if h == s.lastHealth && members == s.members {
 		return false
 	}
-	s.seen, s.members = h, members
+	s.lastHealth, s.members = h, members
 	s.balancer.Update(now, s.targets, h.Weight, members)
 	s.setCapacity(h, members.Len())
 	return true
 }
 
-// setCapacity tells the gates how many slots are healthy.
+// setCapacity updates the capacity of the gates from the number of healthy slots.
 func (s *Service) setCapacity(h *outlier.Snapshot, instances int) {
 	weight := 0.0
 	for _, t := range s.targets {
@@ -159,22 +160,22 @@
 	for i := range s.gates {
 		s.shares[i] = 1 / float64(instances)
 	}
-	s.openGates()
+	s.updateGates()
 }
 
-// openGates gives every gate its part of the healthy slots.
-func (s *Service) openGates() {
+// updateGates sets the capacity of each gate to its share of the healthy slots.
+func (s *Service) updateGates() {
 	for i, g := range s.gates {
 		g.SetCapacity(s.slots, s.shares[i])
 	}
 }
 
-// ShareOf tells which part of the fleet's requests of a class at a service,
-// from 0 to 1, arrives at this instance.
+// ShareOf returns this instance's share, from 0 to 1, of the fleet's requests
+// of a class to a service.
 type ShareOf func(id fleet.ServiceID, class fleet.Class) float64
 
-// Rebalance gives the gates of services that had requests since the last call
-// the part of the healthy slots that goes with their part of the traffic.
+// Rebalance divides the healthy slots by share of traffic: it updates the gates
+// of all services that received requests since the last call.
 func (s *Set) Rebalance(share ShareOf) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,6 +186,6 @@
 		for i, class := range classes {
 			svc.shares[i] = share(id, class)
 		}
-		svc.openGates()
+		svc.updateGates()
 	}
 }
--- a/upstream/try.go
+++ b/upstream/try.go
@@ -19,67 +19,65 @@
 	Method string
 	// URL gives path and query; its scheme and host are not used.
 	URL *url.URL
-	// Header is not changed. Fields that hold for one connection only are
-	// left out on the way.
+	// Header is not modified. Hop-by-hop fields are not forwarded.
 	Header http.Header
-	// ID, if not empty, is sent as the request's id.
+	// ID, if not empty, is sent as the request ID.
 	ID string
-	// Body may be nil. It is read once: a try that began to read it cannot
-	// be followed by another with the same body.
+	// Body may be nil. It can be read only once: after a try has started to
+	// read it, no other try can use the same body.
 	Body io.Reader
-	// Length is the body's length in bytes, -1 if it is not known.
+	// Length is the length of the body in bytes, -1 if unknown.
 	Length int64
-	// OneBody tells that Body comes from the caller and cannot be made anew.
+	// OneBody reports whether Body comes from the caller and cannot be recreated.
 	OneBody bool
-	// MaxAnswer bounds the answer's body in bytes.
-	MaxAnswer int64
+	// MaxResponseBytes limits the size of the response body.
+	MaxResponseBytes int64
 }
 
-// Answer is a target's whole answer.
-type Answer struct {
+// Response is the complete response of a target.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Result is how a try ended.
+// Result is the result of a try.
 type Result struct {
 	Try fleet.TryResult
-	// Sent tells whether any byte of the request may have left this
-	// instance. A request that was not sent was not run.
+	// Sent reports whether any byte of the request may have left this
+	// instance. A request that was not sent did not run.
 	Sent bool
-	// Target is where the request was tried, zero if nowhere.
+	// Target is the target of the try, zero if none was picked.
 	Target fleet.Target
-	// BodyUsed tells that the request's body was begun to be read and cannot
-	// be made anew.
+	// BodyUsed reports whether reading of the request body has started and the
+	// body cannot be recreated.
 	BodyUsed bool
-	// BodyErr is why the caller's body could not be read to its end.
+	// BodyErr is the error from reading the caller's body, if any.
 	BodyErr error
-	// TooLarge tells that the answer was cut off at Request.MaxAnswer.
+	// TooLarge reports whether the response exceeded Request.MaxResponseBytes.
 	TooLarge bool
-	// Answer is the target's whole answer, nil if there is none.
-	Answer *Answer
-	// RetryAfter is when the target asked to be left alone until, 0 if it
-	// did not ask.
+	// Response is the complete response, nil if there is none.
+	Response *Response
+	// RetryAfter is the backoff that the target requested, 0 if none.
 	RetryAfter time.Duration
 	Latency    time.Duration
 	Err        error
 }
 
-// maxRetryAfter bounds for how long a target is left alone that asks for it.
+// maxRetryAfter limits the backoff that a target can request.
 const maxRetryAfter = 5 * time.Minute
 
-// Unrun tells whether the target certainly did not run the request.
-func (r *Result) Unrun() bool { return !r.Sent || r.Try.NotRun() }
+// NotRun reports whether the target certainly did not run the request.
+func (r *Result) NotRun() bool { return !r.Sent || r.Try.NotRun() }
 
-// Via names this instance to targets.
+// Via identifies this instance to targets.
 type Via struct {
 	Instance fleet.InstanceID
 	Zone     fleet.Zone
 }
 
-// Try sends a request to one target and reads its whole answer. The context
-// bounds it; its deadline is passed on to the target.
+// Try sends a request to one target and reads the complete response. The
+// deadline of the context applies to the try and is forwarded to the target.
 func Try(ctx context.Context, rt http.RoundTripper, via Via, target fleet.Target, req *Request) Result {
 	start := time.Now()
 	var trace pool.Trace
@@ -90,10 +88,10 @@
 	if err != nil {
 		res.Try, res.Err = classifyError(ctx, err, &trace), err
 	} else {
-		readAnswer(ctx, resp, req.MaxAnswer, &trace, &res)
+		readResponse(ctx, resp, req.MaxResponseBytes, &trace, &res)
 	}
 	res.Sent = trace.Sent()
-	body.conclude(&res, req.OneBody)
+	body.finish(&res, req.OneBody)
 	res.Latency = time.Since(start)
 	return res
 }
@@ -124,33 +122,33 @@
 	out.Header.Set(header.ViaInstance, string(via.Instance))
 	out.Header.Set(header.ViaZone, string(via.Zone))
 	if deadline, ok := ctx.Deadline(); ok {
-		left := max(time.Until(deadline).Milliseconds(), 1)
-		out.Header.Set(header.RequestTimeout, strconv.FormatInt(left, 10))
+		remaining := max(time.Until(deadline).Milliseconds(), 1)
+		out.Header.Set(header.RequestTimeout, strconv.FormatInt(remaining, 10))
 	}
 	return out.WithContext(ctx)
 }
 
-// ErrNoTarget tells that no target could be chosen.
+// ErrNoTarget is the error of a request for which no target could be picked.
 var ErrNoTarget = errors.New("no target can be chosen")
 
-// ErrGivenUp is the cause of a context that ended for a reason which says
-// nothing of the target: the caller left, or another try was chosen.
-var ErrGivenUp = errors.New("given up")
+// ErrAbandoned is the cause of a context that ended for a reason unrelated to
+// the target: the caller disconnected, or the result of another try was used.
+var ErrAbandoned = errors.New("given up")
 
 func classifyError(ctx context.Context, err error, trace *pool.Trace) fleet.TryResult {
-	if errors.Is(context.Cause(ctx), ErrGivenUp) || errors.Is(ctx.Err(), context.Canceled) {
+	if errors.Is(context.Cause(ctx), ErrAbandoned) || errors.Is(ctx.Err(), context.Canceled) {
 		return fleet.TryCanceled
 	}
 	return pool.Classify(err, trace)
 }
 
-func readAnswer(ctx context.Context, resp *http.Response, limit int64, trace *pool.Trace, res *Result) {
+func readResponse(ctx context.Context, resp *http.Response, limit int64, trace *pool.Trace, res *Result) {
 	defer resp.Body.Close()
 	body, err := readBody(resp, limit)
 	if err != nil {
 		res.Try, res.Err = classifyError(ctx, err, trace), err
 		if res.Try == fleet.TryReset {
-			res.Try = fleet.TryTruncated // the answer's header was there
+			res.Try = fleet.TryTruncated // the response header had arrived
 		}
 		return
 	}
@@ -158,13 +156,13 @@
 		res.Try, res.TooLarge = fleet.TryOK, true
 		return
 	}
-	res.Try = classifyAnswer(resp)
-	// A field that names no time asks for none.
+	res.Try = classifyResponse(resp)
+	// An invalid field counts as no request for a backoff.
 	res.RetryAfter, _ = header.ParseRetryAfter(resp.Header, time.Now(), maxRetryAfter)
-	res.Answer = &Answer{Status: resp.StatusCode, Header: header.StripHopByHop(resp.Header), Body: body}
+	res.Response = &Response{Status: resp.StatusCode, Header: header.StripHopByHop(resp.Header), Body: body}
 }
 
-// readBody reads an answer's body, or one byte more than the limit.
+// readBody reads a response body, at most one byte more than the limit.
 func readBody(resp *http.Response, limit int64) ([]byte, error) {
 	if resp.ContentLength < 0 || resp.ContentLength > limit || resp.Request.Method == http.MethodHead {
 		return io.ReadAll(io.LimitReader(resp.Body, limit+1))
@@ -174,7 +172,7 @@
 	return body, err
 }
 
-func classifyAnswer(resp *http.Response) fleet.TryResult {
+func classifyResponse(resp *http.Response) fleet.TryResult {
 	switch resp.Header.Get(header.TargetNotRun) {
 	case header.NotRunShed:
 		return fleet.TryShed
