--- a/operate/config.go
+++ b/operate/config.go
@@ -16,12 +16,14 @@
 	"github.com/clementinereel/clementinereel/ticket"
 )
 
-// Settings bound the machinery; they are part of an instance's settings file.
+// Settings limits the resources of a Service. It is part of an instance's
+// settings file.
 type Settings struct {
-	// Partitions is how many log streams hold the keys. Default 16. All
-	// instances must agree; it must never change while keys are remembered.
+	// Partitions is the number of log streams that store the keys. Default 16.
+	// It must be equal on all instances and must not change while keys are
+	// retained.
 	Partitions int `json:"partitions,omitempty"`
-	// Recorders is how many instances read a partition. Default 2.
+	// Recorders is the number of instances that read a partition. Default 2.
 	Recorders int `json:"recorders,omitempty"`
 	// ClaimTimeout bounds the wait for a claim. Default "2s".
 	ClaimTimeout contract.Duration `json:"claim_timeout,omitempty"`
@@ -29,14 +31,14 @@
 	AppendsPerSecond float64 `json:"appends_per_second,omitempty"`
 	// Linger is how long a claim waits to share an append. Default "2ms".
 	Linger contract.Duration `json:"linger,omitempty"`
-	// MaxRecordedAnswer is the largest answer body that goes to the log, in
-	// bytes. Default 16384. A larger one is replayed only while the instance
-	// that got it lives and has room.
+	// MaxRecordedAnswer is the largest answer body that is written to the log,
+	// in bytes. Default 16384. A larger body is replayed only while the
+	// instance that received it is running and has it in memory.
 	MaxRecordedAnswer int `json:"max_recorded_answer_bytes,omitempty"`
-	// MaxKeptAnswers bounds those larger answers, in bytes. Default 16 MiB.
+	// MaxKeptAnswers bounds the memory for those larger answers, in bytes. Default 16 MiB.
 	MaxKeptAnswers int64 `json:"max_kept_answers_bytes,omitempty"`
 	// MaxAttempts bounds the keyed operations of the instance whose outcome
-	// is not in the log yet. Default 20000.
+	// is not yet in the log. Default 20000.
 	MaxAttempts int `json:"max_attempts,omitempty"`
 	// MaxPending bounds the entries that wait at a recorder for one
 	// partition. Default 4096.
@@ -47,23 +49,24 @@
 	MaxPartitionBytes int64 `json:"max_partition_bytes,omitempty"`
 	// MaxTickets bounds the tickets of the instance. Default 50000.
 	MaxTickets int `json:"max_tickets,omitempty"`
-	// MaxSurveys bounds the keys that wait for a survey while the log is out
-	// of reach. Default 1024. Beyond it the outcome is unknown, with the word
-	// that a repeat is safe.
+	// MaxSurveys bounds the keys that wait for a survey while the log is
+	// unavailable. Default 1024. Beyond it the outcome is reported as unknown
+	// and safe to repeat.
 	MaxSurveys int `json:"max_surveys,omitempty"`
-	// MaxSurveyed is the number of instances up to which surveys are made.
-	// Default 100. In larger fleets they would cost too much.
+	// MaxSurveyed is the largest number of instances for which surveys are
+	// made. Default 100. In larger fleets they would cost too much.
 	MaxSurveyed int `json:"max_surveyed,omitempty"`
-	// CheckpointInterval is how often a partition's state is appended whole.
+	// CheckpointInterval is the interval between snapshots of a partition in the
+	// log.
 	// Default "10m". It must be less than a quarter of the log's retention.
 	CheckpointInterval contract.Duration `json:"checkpoint_interval,omitempty"`
-	// GoneAfter is how long after the platform stopped listing it a process
-	// counts as ended. Default "1m". It must exceed the lag with which the
+	// GoneAfter is the time after which a process that the platform no longer
+	// lists counts as ended. Default "1m". It must exceed the lag with which the
 	// platform lists new instances.
 	GoneAfter contract.Duration `json:"gone_after,omitempty"`
 }
 
-// WithDefaults fills in the defaults.
+// WithDefaults returns s with unset fields replaced by their defaults.
 func (s Settings) WithDefaults() Settings {
 	orDefault(&s.Partitions, 16)
 	orDefault(&s.Recorders, 2)
@@ -95,7 +98,7 @@
 	}
 }
 
-// Request is a request of class confirmation, with its whole body.
+// Request is a request of class confirmation with its complete body.
 type Request struct {
 	Customer fleet.CustomerID
 	Route    string
@@ -111,9 +114,9 @@
 	Query  string
 	Header http.Header
 	Body   []byte
-	// Window is how long the operation is remembered after its outcome.
+	// Window is how long the operation is retained after its outcome.
 	Window time.Duration
-	// Deadline is when the operation's whole answer must have come.
+	// Deadline is the time by which the complete answer must have been received.
 	Deadline time.Time
 }
 
@@ -129,59 +132,58 @@
 	return operation.Key{Customer: r.Customer, Name: r.Key}
 }
 
-// Result is how a Runner ended.
+// Result is the result of a Runner.
 type Result struct {
-	// Answer is the target's whole answer, for Completed; for NotRun it may
-	// be the proxy's own.
+	// Answer is the target's complete answer for Completed. For NotRun it may
+	// be generated by the proxy.
 	Answer operation.Answer
-	// Outcome is Completed with a whole answer; NotRun only if nothing was
-	// written to any target, or each said that it did not run the request;
-	// Unknown otherwise.
+	// Outcome is Completed with a complete answer; NotRun only if nothing was
+	// written to any target, or each target reported that it did not run the
+	// request; Unknown otherwise.
 	Outcome fleet.Outcome
-	// Target is where the request was sent last; empty if nowhere.
+	// Target is the last target that the request was sent to, or empty.
 	Target fleet.TargetID
 }
 
-// Runner sends a request to one target, or to another if a target said that
-// it did not run it. It must end soon after its context.
+// Runner sends a request to a target, and to another one if the first reports
+// that it did not run the request. It must return soon after its context ends.
 type Runner func(ctx context.Context, req *Request) Result
 
 // Answer is an operation's answer to one caller.
 type Answer struct {
 	operation.Answer
-	told func()
+	delivered func()
 }
 
-// Told must be called once the answer was written to the caller, or could not
-// be. Only then may a key that was told not run be opened again.
-func (a Answer) Told() {
-	if a.told != nil {
-		a.told()
+// Delivered must be called once the answer was written to the caller or the
+// write failed. A key that was reported as not run is released only then.
+func (a Answer) Delivered() {
+	if a.delivered != nil {
+		a.delivered()
 	}
 }
 
-// Config is what a Service needs.
+// Config configures a Service.
 type Config struct {
 	Settings
 	// Self is this process.
 	Self fleet.Holder
 	// Log is the platform's log.
 	Log logservice.Log
-	// Peers reaches the instance i at "http://i.peer", by relay if need be.
+	// Peers reaches the instance i at "http://i.peer", through a relay if needed.
 	Peers *http.Client
-	// Members returns every process that may run, this one included: those
-	// that peers know and those that the platform lists, live or leaving.
-	// Being out of reach is no reason to be left out. An incarnation that is
-	// not known is 0.
+	// Members returns every process that may be running, including this one:
+	// those that peers report and those that the platform lists, live or
+	// leaving. Unreachable processes are included. An unknown incarnation is 0.
 	Members func() []fleet.Holder
-	// View returns the member view. Roles fall on its members. Default: all
-	// Members whose incarnation is known, as alive and ready.
+	// View returns the member view, whose members are assigned roles. Default:
+	// all Members with a known incarnation, as alive and ready.
 	View func() []membership.Member
 	// Run dispatches operations that arrive under a ticket from peers.
 	Run Runner
 	// Now is the clock. Default time.Now.
 	Now func() time.Time
-	// Metrics is where the service registers. Default: a registry of its own.
+	// Metrics is the registry for the service's metrics. Default: a registry of its own.
 	Metrics metrics.Registry
 	// Attempts and Tickets are for tests; defaults apply.
 	Attempts claim.TableConfig
--- a/operate/doc.go
+++ b/operate/doc.go
@@ -1,16 +1,16 @@
-// Package operate runs work that must run at most once: it connects the pure
-// decisions of packages operation, claim and ticket with the log, the peers
-// and the proxy.
+// Package operate runs operations that must run at most once. It connects the
+// decision logic of packages operation, claim and ticket, which does no I/O,
+// with the log, the peers and the proxy.
 //
-// The proxy calls Do for a request of class confirmation. Do returns the whole
-// answer, which says what became of the operation, also to repeats through
+// The proxy calls Do for a request of class confirmation. Do returns the
+// complete answer with the outcome of the operation, also for repeats through
 // other instances. The request is dispatched by a Runner at most once.
 //
-// Each instance also records the partitions for which it stands first or
-// second by rendezvous over the members. The second reads along, so that it
-// can take over at once. Two recorders that both think they are first are
-// harmless.
+// Each instance also records the partitions for which it ranks first or second
+// in rendezvous hashing over the members. The second reads the stream too, so
+// that it can take over immediately. Two recorders that both consider
+// themselves first are harmless.
 //
-// A dispatched operation goes on when its caller goes away, until its own
-// deadline, for the caller will come back with the same key.
+// A dispatched operation continues until its own deadline when its caller
+// disconnects, because the caller is expected to retry with the same key.
 package operate
--- a/operate/fake_test.go
+++ b/operate/fake_test.go
@@ -25,7 +25,7 @@
 
 var errFault = errors.New("injected fault")
 
-// memLog is a log in memory with faults.
+// memLog is an in-memory log with fault injection.
 type memLog struct {
 	mu        sync.Mutex
 	streams   map[string][]logservice.Record
@@ -110,22 +110,22 @@
 	log   *memLog
 	mu    sync.Mutex
 	nodes map[fleet.InstanceID]*Service
-	// listed are instances that the platform still lists and nobody reaches.
+	// listed contains unreachable instances that the platform still lists.
 	listed []fleet.Holder
 	cut    map[[2]fleet.InstanceID]bool
 	inc    atomic.Int64
 	runs   map[string]int
-	// behave is what the target does; it may be replaced.
+	// behave is the target's behaviour; it may be replaced.
 	behave func(ctx context.Context, req *Request) Result
 	change func(c *Config)
-	// runners, if one is stored under an operation's name, take the place of
-	// behave; they are told the instance. order is for loads.
+	// runners maps names of operations to runners that replace behave and
+	// receive the instance. order lists the instances for loads.
 	runners  sync.Map
 	handlers sync.Map
 	order    []*Service
 }
 
-// runner is a target's behaviour that knows who calls it.
+// runner is a target's behaviour that receives the calling instance.
 type runner func(ctx context.Context, at *Service) Result
 
 func newCluster(t *testing.T, n int, change func(c *Config)) *cluster {
@@ -155,13 +155,13 @@
 
 func node(i int) fleet.InstanceID { return fleet.InstanceID(fmt.Sprint("i", i)) }
 
-// reading tells whether the instance has read its partitions to the end.
+// reading reports whether the instance has read its partitions to the end.
 func (s *Service) reading() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range s.partitions {
 		p.mu.Lock()
-		read := p.read
+		read := p.caughtUp
 		p.mu.Unlock()
 		if !read {
 			return false
@@ -211,7 +211,7 @@
 	}
 }
 
-// crash ends an instance without any farewell.
+// crash ends an instance without a graceful stop.
 func (c *cluster) crash(i int) {
 	c.mu.Lock()
 	s := c.nodes[node(i)]
@@ -250,7 +250,7 @@
 	c.cut[[2]fleet.InstanceID{node(from), node(to)}] = cut
 }
 
-// isolate cuts an instance off from all others, both ways.
+// isolate partitions an instance from all others, in both directions.
 func (c *cluster) isolate(i, n int) {
 	for j := range n {
 		c.setCut(i, j, i != j)
@@ -270,7 +270,7 @@
 	c.behave = f
 }
 
-// book is a run at the target.
+// book simulates a run at the target.
 func (c *cluster) book(req *Request) Result {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -291,7 +291,7 @@
 	limit := time.Now().Add(20 * time.Second)
 	for !cond() {
 		if time.Now().After(limit) {
-			c.t.Fatalf("never: %s", what)
+			c.t.Fatalf("not met within 20 s: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -337,10 +337,10 @@
 	}
 }
 
-// send does a request at an instance and has it told.
+// send sends a request to an instance and marks the answer as delivered.
 func (c *cluster) send(i int, req *Request) operation.Answer {
 	a := c.at(i).Do(context.Background(), req, nil)
-	a.Told()
+	a.Delivered()
 	return a.Answer
 }
 
--- a/operate/keyed.go
+++ b/operate/keyed.go
@@ -13,71 +13,74 @@
 	"github.com/clementinereel/clementinereel/operation"
 )
 
-// answerReserve is left of a request's deadline to give its answer.
+// answerReserve is the part of a request's deadline reserved for sending the
+// answer.
 const answerReserve = 100 * time.Millisecond
 
-// flight is an attempt in progress and those who wait for its answer.
+// flight is an attempt in progress with the callers that wait for its answer.
 type flight struct {
 	a    *claim.Attempt
 	done chan struct{}
-	// answer and until are set before done is closed. Not run may be told
-	// only until then; zero means always.
+	// answer and until are set before done is closed. NotRun may be
+	// reported only until then; zero means no limit.
 	answer operation.Answer
 	until  time.Time
 
 	// mu guards the rest.
-	mu      sync.Mutex
-	tellers int
-	told    chan struct{}
-	closed  bool
+	mu        sync.Mutex
+	waiters   int
+	delivered chan struct{}
+	closed    bool
 }
 
 func newFlight(a *claim.Attempt) *flight {
-	return &flight{a: a, done: make(chan struct{}), told: make(chan struct{})}
+	return &flight{a: a, done: make(chan struct{}), delivered: make(chan struct{})}
 }
 
-// join adds one who will be told the answer; false if it was told to all.
+// join adds a waiter. It returns false if the answer was already delivered to
+// all waiters.
 func (f *flight) join() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
 		return false
 	}
-	f.tellers++
+	f.waiters++
 	return true
 }
 
-// leave notes that one was told. The last one ends the telling.
+// leave removes a waiter. After the answer is set, the last one closes the
+// flight.
 func (f *flight) leave() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.tellers--
-	if f.tellers > 0 || f.closed {
+	f.waiters--
+	if f.waiters > 0 || f.closed {
 		return
 	}
 	select {
 	case <-f.done:
 		f.closed = true
-		close(f.told)
+		close(f.delivered)
 	default:
-		// Nobody waits, and there is no answer yet: later ones may join.
+		// There is no answer yet: later callers may join.
 	}
 }
 
-// finish sets the answer.
+// finish sets the answer and wakes the waiters.
 func (f *flight) finish(a operation.Answer, until time.Time) {
 	f.answer = a
 	f.until = until
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	close(f.done)
-	if f.tellers == 0 && !f.closed {
+	if f.waiters == 0 && !f.closed {
 		f.closed = true
-		close(f.told)
+		close(f.delivered)
 	}
 }
 
-// doKeyed runs an operation that an idempotency key names.
+// doKeyed runs an operation with an idempotency key.
 func (s *Service) doKeyed(ctx context.Context, req *Request, run Runner) Answer {
 	f, adm := s.begin(req, run)
 	switch adm {
@@ -87,7 +90,7 @@
 		return Answer{Answer: undecided(req, "the key is held off for a moment")}
 	case claim.Full:
 		a, until := s.survey(ctx, req, nil)
-		return Answer{Answer: s.inTime(req, a, until)}
+		return Answer{Answer: s.expireNotRun(req, a, until)}
 	}
 	if f == nil {
 		return Answer{Answer: undecided(req, "an earlier attempt has just ended")}
@@ -96,23 +99,23 @@
 	select {
 	case <-f.done:
 	case <-ctx.Done():
-		return Answer{Answer: undecided(req, "the caller gave up"), told: once}
+		return Answer{Answer: undecided(req, "the caller gave up"), delivered: once}
 	case <-s.ctx.Done():
-		return Answer{Answer: undecided(req, "the instance stops"), told: once}
+		return Answer{Answer: undecided(req, "the instance stops"), delivered: once}
 	}
-	return Answer{Answer: s.inTime(req, f.answer, f.until), told: once}
+	return Answer{Answer: s.expireNotRun(req, f.answer, f.until), delivered: once}
 }
 
-// inTime turns a not run that can no longer be told into unknown.
-func (s *Service) inTime(req *Request, a operation.Answer, until time.Time) operation.Answer {
+// expireNotRun turns NotRun into Unknown if it can no longer be reported.
+func (s *Service) expireNotRun(req *Request, a operation.Answer, until time.Time) operation.Answer {
 	if a.Outcome == fleet.NotRun && !until.IsZero() && s.now().After(until) {
 		return undecided(req, "the answer comes too late to be sure")
 	}
 	return a
 }
 
-// begin starts an attempt or joins the one that is held. A nil flight with
-// Joined means that its answer has been told to all.
+// begin starts an attempt or joins the existing one. A nil flight with Joined
+// means that its answer was already delivered to all waiters.
 func (s *Service) begin(req *Request, run Runner) (*flight, claim.Admission) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,16 +133,16 @@
 		return f, adm
 	case claim.Begun:
 		f := newFlight(a)
-		f.tellers = 1
+		f.waiters = 1
 		s.flights[a] = f
-		s.spawn(func(ctx context.Context) { s.fly(ctx, f, req, run) })
+		s.spawn(func(ctx context.Context) { s.runAttempt(ctx, f, req, run) })
 		return f, adm
 	}
 	return nil, adm
 }
 
-// fly takes an attempt from its claim to its recorded outcome.
-func (s *Service) fly(ctx context.Context, f *flight, req *Request, run Runner) {
+// runAttempt runs an attempt from its claim to its recorded outcome.
+func (s *Service) runAttempt(ctx context.Context, f *flight, req *Request, run Runner) {
 	bounded, cancel := context.WithDeadline(ctx, req.Deadline)
 	answer, until := s.decide(bounded, f, req, run)
 	cancel()
@@ -151,7 +154,7 @@
 	delete(s.flights, f.a)
 }
 
-// decide claims the key and does what the verdict asks for.
+// decide claims the key and acts on the verdict.
 func (s *Service) decide(ctx context.Context, f *flight, req *Request, run Runner) (operation.Answer, time.Time) {
 	began := s.now()
 	verdict, op := s.claim(ctx, f.a)
@@ -176,14 +179,14 @@
 	return s.survey(ctx, req, f.a)
 }
 
-// dispatch runs an attempt that has passed to dispatched.
+// dispatch runs an attempt in state dispatched.
 func (s *Service) dispatch(ctx context.Context, f *flight, req *Request, run Runner) operation.Answer {
 	res := run(ctx, req)
 	answer := operation.NewCompleted(res.Answer.Status, res.Answer.Header, res.Answer.Body)
 	switch res.Outcome {
 	case fleet.Completed:
 	case fleet.NotRun:
-		answer = s.refusedUnrun(req, res)
+		answer = s.notRunByTargets(req, res)
 	default:
 		res.Outcome = fleet.Unknown
 		answer = unresolved(req)
@@ -196,8 +199,8 @@
 	return answer
 }
 
-// refusedUnrun is the answer when no target ran a dispatched request.
-func (s *Service) refusedUnrun(req *Request, res Result) operation.Answer {
+// notRunByTargets returns the answer when no target ran a dispatched request.
+func (s *Service) notRunByTargets(req *Request, res Result) operation.Answer {
 	a := notRun(req, "no target took the request")
 	if res.Answer.RetryAfter > a.RetryAfter {
 		a = operation.NewProblem(req.name(), a.Status, a.Outcome, a.Next, "no target took the request", res.Answer.RetryAfter)
@@ -205,20 +208,21 @@
 	return a
 }
 
-// notRun says that the key was not run. The key can be used again.
+// notRun returns the answer for a key that was not run and can be used again.
 func notRun(req *Request, detail string) operation.Answer {
 	return operation.NewProblem(req.name(), http.StatusServiceUnavailable, fleet.NotRun,
 		operation.RepeatSameKey, detail, retryBusy)
 }
 
-// undecided says that this request was not dispatched, while another under the
-// same key may have been. A repeat is safe and will find out.
+// undecided returns the answer for a request that was not dispatched, while
+// another with the same key may have been. A repeat is safe.
 func undecided(req *Request, detail string) operation.Answer {
 	return operation.NewProblem(req.name(), http.StatusServiceUnavailable, fleet.Unknown,
 		operation.RepeatSameKey, detail, retryBusy)
 }
 
-// unresolved says that the operation may have run and nobody knows.
+// unresolved returns the answer for an operation that may have run and whose
+// outcome is unknown.
 func unresolved(req *Request) operation.Answer {
 	return operation.NewProblem(req.name(), http.StatusBadGateway, fleet.Unknown,
 		operation.AskOperator, "the operation was sent and its outcome is not known", 0)
@@ -229,7 +233,7 @@
 		operation.FixRequest, "the key or ticket belongs to another request; this request was not run", 0)
 }
 
-// replay is the answer of an operation that has an outcome on record. An answer
+// replay returns the answer of an operation with a recorded outcome. An answer
 // that was too large for the log is fetched from its holder.
 func (s *Service) replay(ctx context.Context, req *Request, op claim.Op) operation.Answer {
 	if op.State == operation.Completed && op.Answer == nil && req.digest() == op.Digest {
@@ -240,7 +244,7 @@
 	return replay(req, op)
 }
 
-// replay is the answer that the log holds of an operation.
+// replay returns the answer of an operation from its state in the log.
 func replay(req *Request, op claim.Op) operation.Answer {
 	if req.digest() != op.Digest {
 		return otherBody(req)
--- a/operate/keyed_test.go
+++ b/operate/keyed_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// hangingLog is a log that one instance cannot reach: its calls hang.
+// hangingLog is a log that is unreachable for one instance: its calls hang.
 type hangingLog struct{ logservice.Log }
 
 func (hangingLog) Append(ctx context.Context, _ string, _ []byte) (logservice.Offset, error) {
@@ -41,7 +41,8 @@
 	return 0, ctx.Err()
 }
 
-// A recorder that is cut off from the log does not hold up its partitions.
+// A recorder that is cut off from the log must not block claims in its
+// partitions.
 func TestRecorderCutOffFromTheLog(t *testing.T) {
 	c := newCluster(t, 3, func(cfg *Config) {
 		cfg.Partitions = 16
@@ -56,7 +57,7 @@
 	}
 }
 
-// firstWaits notes how long the first read of each stream may wait.
+// firstWaits records how long the first read of each stream may wait.
 type firstWaits struct {
 	logservice.Log
 	mu    sync.Mutex
@@ -72,8 +73,8 @@
 	return l.Log.Read(ctx, stream, from, limit, wait)
 }
 
-// A recorder that has just got an empty partition takes claims at once: its
-// first read does not wait for a record to come.
+// A recorder that was just assigned an empty partition must accept claims
+// immediately: its first read does not wait for a record.
 func TestFirstReadDoesNotWait(t *testing.T) {
 	log := &firstWaits{waits: map[string]time.Duration{}}
 	newCluster(t, 1, func(cfg *Config) {
@@ -102,7 +103,7 @@
 	assert.Equal(t, c.ran("k"), 1)
 }
 
-// The outcome outlives the instance that ran the operation.
+// The outcome must be available after the instance that ran the operation ended.
 func TestReplayAfterCrash(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.wantOutcome(c.send(0, keyed("k", "b")), fleet.Completed)
@@ -148,7 +149,7 @@
 	assert.Equal(t, c.ran("k"), 1)
 }
 
-// With the log down a new key is refused as not run, and that is true.
+// While the log is unavailable, a new key is refused as not run and is not run.
 func TestLogDownBeforeClaim(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.log.set(func(l *memLog) { l.down = true })
@@ -162,7 +163,8 @@
 	assert.Equal(t, c.ran("k"), 1)
 }
 
-// While an instance that may hold the key is silent, nobody says not run.
+// While an instance that may hold the key does not respond, no instance may
+// report not run.
 func TestLogDownAndOneCutOff(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	release := make(chan struct{})
@@ -193,7 +195,8 @@
 	assert.Equal(t, c.ran("k"), 1)
 }
 
-// An instance that the platform lists counts, though no peer knows it any more.
+// An instance that the platform lists counts as running, even if no peer tracks
+// it any more.
 func TestListedInstanceMayHoldTheKey(t *testing.T) {
 	c := newCluster(t, 2, nil)
 	c.mu.Lock()
@@ -209,8 +212,8 @@
 	c.wantOutcome(c.send(0, keyed("k", "b")), fleet.Unknown)
 }
 
-// The log goes down after the claim: the operation runs, and a repeat gets its
-// answer from the holder.
+// If the log becomes unavailable after the claim, the operation runs and a
+// repeat gets the answer from the holder.
 func TestLogDownBetweenClaimAndOutcome(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.setBehaviour(func(_ context.Context, req *Request) Result {
@@ -237,7 +240,7 @@
 	}
 }
 
-// A target that says it did not run the request leaves the key open.
+// If a target reports that it did not run the request, the key can be used again.
 func TestRefusedUnrunOpensTheKey(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.setBehaviour(func(context.Context, *Request) Result { return Result{Outcome: fleet.NotRun} })
@@ -247,7 +250,7 @@
 	assert.Equal(t, c.ran("k"), 1)
 }
 
-// While the caller has not been told not run, nobody else may run the key.
+// Until not run was delivered to the caller, no other request may run the key.
 func TestKeyStaysShutUntilTold(t *testing.T) {
 	c := newCluster(t, 2, nil)
 	c.setBehaviour(func(context.Context, *Request) Result { return Result{Outcome: fleet.NotRun} })
@@ -258,11 +261,11 @@
 		c.wantOutcome(c.send(1, keyed("k", "b")), fleet.Unknown)
 	}
 	assert.Equal(t, c.ran("k"), 0)
-	slow.Told()
+	slow.Delivered()
 	c.eventually("runs", func() bool { return c.send(1, keyed("k", "b")).Outcome == fleet.Completed })
 }
 
-// Keys outlive the log's retention.
+// Keys are kept beyond the log's retention.
 func TestCheckpointOutlivesRetention(t *testing.T) {
 	c := newCluster(t, 2, func(cfg *Config) { cfg.CheckpointInterval = 1e7 })
 	c.wantOutcome(c.send(0, keyed("k", "b")), fleet.Completed)
@@ -291,8 +294,8 @@
 	assert.Equal(t, c.ran("k"), 1)
 }
 
-// A large answer is replayed while its holder lives; later it is known at
-// least that the operation ran.
+// A large answer is replayed while its holder runs; afterwards a repeat still
+// gets the outcome that the operation ran.
 func TestLargeAnswer(t *testing.T) {
 	c := newCluster(t, 2, func(cfg *Config) { cfg.MaxRecordedAnswer = 4 })
 	first := c.send(0, keyed("k", "b"))
@@ -304,8 +307,8 @@
 	assert.Equal(t, c.ran("k"), 1)
 }
 
-// A claim that one try may have left in the log stays to be withdrawn, though
-// all recorders refused it at the next try.
+// A claim that one try may have left in the log must be withdrawn, even if all
+// recorders refused it at the next try.
 func TestDoubtOfAnEarlierTryIsKept(t *testing.T) {
 	sure := recorded{verdict: claim.Refused, refused: true, withheld: true}
 	doubt := recorded{verdict: claim.Refused, refused: true}
--- a/operate/measure_faults_test.go
+++ b/operate/measure_faults_test.go
@@ -13,7 +13,7 @@
 	"github.com/clementinereel/clementinereel/wait"
 )
 
-// fault is what goes wrong with the first dispatch of an operation.
+// fault is a failure of the first dispatch of an operation.
 type fault uint8
 
 const (
@@ -27,7 +27,7 @@
 )
 
 // trial is one operation of a measurement: its caller repeats it until its
-// outcome is final, while one fault strikes its first dispatch.
+// outcome is final, while one fault affects its first dispatch.
 type trial struct {
 	c     *cluster
 	w     way
@@ -56,8 +56,8 @@
 	}
 }
 
-// caller sends the operation and repeats it, each time through an instance that
-// the balancer picks at random.
+// caller sends the operation and repeats it, each time through a random
+// instance.
 func (x *trial) caller() {
 	at := x.rnd.IntN(4)
 	if x.w == tickets {
@@ -102,7 +102,7 @@
 	}
 }
 
-// send is one request; it returns true once the caller need not repeat.
+// send sends one request. It returns true if the caller need not repeat it.
 func (x *trial) send(at int) bool {
 	s := x.c.at(at)
 	if s == nil {
@@ -132,13 +132,13 @@
 	return final
 }
 
-// answer is what the instance answers in each of the ways. Without claims there
-// is no unknown: an error reads as not run. Claims in memory have the same
-// states as those in the log, but only this process knows them.
+// answer returns the instance's answer for the way of the measurement. Without
+// claims there is no unknown: an error is reported as not run. Claims in memory
+// have the same states as those in the log, but only this process has them.
 func (x *trial) answer(ctx context.Context, s *Service, req *Request) operation.Answer {
 	if x.w >= logClaims {
 		a := s.Do(ctx, req, nil)
-		defer a.Told()
+		defer a.Delivered()
 		return a.Answer
 	}
 	if x.w == memoryClaims {
@@ -164,7 +164,7 @@
 	return notRun(req, "no answer from the target")
 }
 
-// run is the target; the fault strikes the first dispatch.
+// run simulates the target; the fault affects the first dispatch.
 func (x *trial) run(ctx context.Context, at *Service) Result {
 	x.mu.Lock()
 	f := x.fault
@@ -195,7 +195,7 @@
 	return Result{Outcome: fleet.Completed, Target: "t1", Answer: operation.NewCompleted(201, nil, []byte("booked"))}
 }
 
-// restart crashes an instance and starts it anew.
+// restart crashes an instance and starts it again.
 func (c *cluster) restart(s *Service) {
 	id := s.cfg.Self.Instance
 	c.mu.Lock()
--- a/operate/measure_test.go
+++ b/operate/measure_test.go
@@ -19,7 +19,7 @@
 	"github.com/clementinereel/clementinereel/operation"
 )
 
-// measure turns the measurements on: go test ./operate -run Measure -measure
+// measure enables the measurements: go test ./operate -run Measure -measure
 var measure = flag.Bool("measure", false, "run the measurements and print their tables")
 
 func wantMeasure(t *testing.T) *tabwriter.Writer {
@@ -31,7 +31,7 @@
 	return tw
 }
 
-// figures are what one load showed.
+// figures are the results of one load.
 type figures struct {
 	mu       sync.Mutex
 	before   *hdrhistogram.Histogram // arrival to dispatch, microseconds
@@ -83,7 +83,8 @@
 	req := keyed(fmt.Sprint("load-", k), "b")
 	arrived := time.Now()
 	if ticketed {
-		// The ticket comes through another instance than the operation.
+		// The ticket is issued by a different instance than the one that receives
+		// the operation.
 		a := c.order[(i+1)%len(c.order)].IssueTicket(req)
 		req.Key, req.Ticket = "", a.Header.Get("Operation-Ticket")
 	}
@@ -93,7 +94,7 @@
 	}
 	c.runners.Store(req.Key+req.Ticket, runner(run))
 	a := c.order[i].Do(context.Background(), req, nil)
-	a.Told()
+	a.Delivered()
 	f.add(f.answer, time.Since(arrived))
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -114,7 +115,7 @@
 	return c
 }
 
-// Claims a second with 44 instances and 300 appends a second.
+// Measures claims a second with 44 instances and 300 appends a second.
 func TestMeasureClaims(t *testing.T) {
 	tw := wantMeasure(t)
 	const seconds = 5
@@ -137,7 +138,8 @@
 	}
 }
 
-// What claims and tickets cost, and what they yield while the log is down.
+// Measures the cost of claims and tickets, and their results while the log is
+// unavailable.
 func TestMeasureCosts(t *testing.T) {
 	tw := wantMeasure(t)
 	const n, rate = 1000, 200
@@ -166,7 +168,7 @@
 	}
 }
 
-// way is how an instance keeps an operation from running twice.
+// way is the method by which an instance prevents duplicate runs.
 type way uint8
 
 const (
@@ -178,12 +180,13 @@
 
 var wayNames = [...]string{"no claims", "memory-only claims", "log claims", "tickets"}
 
-// tally counts what callers saw against what ran.
+// tally compares the outcomes that callers received with the actual runs.
 type tally struct {
 	completed, unknown, notRun, duplicates, falseNotRun atomic.Int64
 }
 
-// Duplicates and false "not run" over the same faults in four ways.
+// Measures duplicates and false "not run" answers under the same faults for four
+// ways.
 func TestMeasureFaults(t *testing.T) {
 	tw := wantMeasure(t)
 	const perCluster, clusters = 60, 8
--- a/operate/partition.go
+++ b/operate/partition.go
@@ -20,18 +20,19 @@
 	readLimit = 100
 	// readWait is how long a read waits at the end of the stream.
 	readWait = time.Second
-	// readBackoff is the pause after a failed read.
+	// readBackoff is the delay after a failed read.
 	readBackoff = 100 * time.Millisecond
 	// partSize bounds a part of a checkpoint, in bytes.
 	partSize = 256 << 10
 	// appendTimeout bounds one append.
 	appendTimeout = 3 * time.Second
-	// standbyShare divides the append rate of those who do not stand first.
-	standbyShare = 4
-	// duePoll is how often a recorder with entries looks for appends that are
-	// due again, idlePoll how often one without looks up.
-	duePoll  = 50 * time.Millisecond
-	idlePoll = time.Second
+	// standbyRateDivisor divides the append rate of recorders that do not
+	// rank first.
+	standbyRateDivisor = 4
+	// duePollInterval is the interval at which a recorder with entries checks for appends
+	// that are due again, idlePoll the interval without entries.
+	duePollInterval  = 50 * time.Millisecond
+	idlePollInterval = time.Second
 )
 
 // partition records one partition: it reads its stream and appends to it.
@@ -40,22 +41,22 @@
 	id     int
 	stream string
 	cancel context.CancelFunc
-	kick   chan struct{}
+	wakeup chan struct{}
 
 	mu  sync.Mutex
 	rec *claim.Recorder
-	// read is set once a read has found the end of the stream; readAt is when
-	// the last such read began.
-	read    bool
-	readAt  time.Time
-	waiters map[claim.Waiter]chan claim.Reply
-	first   bool
-	busy    bool
-	tried   time.Time
+	// caughtUp is set once a read has reached the end of the stream; readAt is
+	// the start time of the last such read.
+	caughtUp        bool
+	readAt          time.Time
+	waiters         map[claim.Waiter]chan claim.Reply
+	first           bool
+	checkpointing   bool
+	checkpointTried time.Time
 }
 
-// assign takes up the partitions for which the instance stands among the first
-// and drops the others. The caller holds the service's lock.
+// assign starts recording the partitions for which the instance ranks among the
+// first Recorders and stops recording the others. The caller holds s.mu.
 func (s *Service) assign(now time.Time) {
 	for id := range s.cfg.Partitions {
 		ids := s.roles.Ranked(claim.StreamName(id), s.cfg.Recorders)
@@ -63,7 +64,7 @@
 		p := s.partitions[id]
 		switch {
 		case place >= 0 && p == nil:
-			p = s.takePartition(id, now)
+			p = s.startPartition(id, now)
 			p.setFirst(place == 0)
 		case place >= 0:
 			p.setFirst(place == 0)
@@ -74,11 +75,11 @@
 	}
 }
 
-func (s *Service) takePartition(id int, now time.Time) *partition {
+func (s *Service) startPartition(id int, now time.Time) *partition {
 	ctx, cancel := context.WithCancel(s.ctx)
 	p := &partition{
 		s: s, id: id, stream: claim.StreamName(id), cancel: cancel,
-		kick: make(chan struct{}, 1), waiters: map[claim.Waiter]chan claim.Reply{},
+		wakeup: make(chan struct{}, 1), waiters: map[claim.Waiter]chan claim.Reply{},
 		rec: claim.NewRecorder(s.cfg.recorder(), claim.NewFold(0), now),
 	}
 	s.partitions[id] = p
@@ -87,16 +88,16 @@
 	return p
 }
 
-// setFirst says whether this instance stands first for the partition. One that
-// does not appends at a part of the rate, so that claims that are handed to
-// both do not double the load of a slow log.
+// setFirst sets whether this instance ranks first for the partition. Other
+// recorders append at a reduced rate, so that claims submitted to both do not
+// double the load of a slow log.
 func (p *partition) setFirst(first bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.first = first
 	rate := p.s.cfg.recorder().AppendRate
 	if !first {
-		rate /= standbyShare
+		rate /= standbyRateDivisor
 	}
 	p.rec.SetAppendRate(rate)
 }
@@ -107,15 +108,15 @@
 	return p.rec.Len() == 0
 }
 
-// record appends an entry, with others, and waits until it is read back.
+// record submits an entry to the next batch and waits until it is read back.
 func (p *partition) record(ctx context.Context, e claim.Entry) (claim.Reply, logservice.Offset, error) {
 	p.mu.Lock()
-	if rep, ok := p.rec.Decided(e); ok && p.read {
+	if rep, ok := p.rec.Decided(e); ok && p.caughtUp {
 		defer p.mu.Unlock()
 		return rep, p.rec.End(), nil
 	}
 	w, ok := claim.Waiter(0), false
-	if p.read {
+	if p.caughtUp {
 		w, ok = p.rec.Submit(p.s.now(), e)
 	}
 	if !ok {
@@ -140,7 +141,7 @@
 
 func (p *partition) wake() {
 	select {
-	case p.kick <- struct{}{}:
+	case p.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -151,22 +152,22 @@
 	return p.rec.End()
 }
 
-// get returns what the stream says of a key, if it is known whole.
+// get returns the state of a key if the history of the stream is complete.
 func (p *partition) get(key operation.Key) (claim.Op, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.rec.Fold().Covered() || !p.read {
+	if !p.rec.Fold().Covered() || !p.caughtUp {
 		return claim.Op{}, false
 	}
 	return p.rec.Fold().Get(key)
 }
 
-// answer adds to a survey's answer what the recorder knows.
+// answer adds the recorder's state of a key to a survey's answer.
 func (p *partition) answer(a *claim.SurveyAnswer, key operation.Key) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a.Claimants = p.rec.Claimants(key)
-	a.Covered = p.rec.Fold().Covered() && p.read
+	a.Covered = p.rec.Fold().Covered() && p.caughtUp
 	a.Age = p.s.now().Sub(p.readAt)
 	a.Next = p.rec.End()
 	a.Op, _ = p.rec.Fold().Get(key)
@@ -177,12 +178,12 @@
 	for {
 		p.mu.Lock()
 		batch, entries := p.rec.Next(p.s.now())
-		idle := idlePoll
+		idle := idlePollInterval
 		switch {
 		case p.rec.Queued() > 0:
 			idle = p.s.cfg.recorder().WithDefaults().Linger
 		case p.rec.Len() > 0:
-			idle = duePoll
+			idle = duePollInterval
 		}
 		p.mu.Unlock()
 		if len(entries) > 0 {
@@ -194,7 +195,7 @@
 		case <-ctx.Done():
 			t.Stop()
 			return
-		case <-p.kick:
+		case <-p.wakeup:
 			t.Stop()
 			wait.For(ctx, p.s.cfg.recorder().WithDefaults().Linger)
 		case <-t.C:
@@ -215,11 +216,11 @@
 	p.rec.Appended(p.s.now(), batch, err)
 }
 
-// tail reads the stream until the partition is dropped.
+// tail reads the stream until the partition is released.
 func (p *partition) tail(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := p.s.now()
-		b, err := p.s.cfg.Log.Read(ctx, p.stream, p.end(), readLimit, p.patience())
+		b, err := p.s.cfg.Log.Read(ctx, p.stream, p.end(), readLimit, p.readTimeout())
 		switch {
 		case errors.Is(err, logservice.ErrExpired):
 			p.restart(b.First)
@@ -227,33 +228,33 @@
 			logFailure("read failed", err, "stream", p.stream)
 			wait.For(ctx, readBackoff)
 		default:
-			p.take(b, began)
+			p.apply(b, began)
 		}
 	}
 }
 
-// patience is how long a read may wait for records. Until the stream was read
-// to its end once, it does not wait: a stream may be empty.
-func (p *partition) patience() time.Duration {
+// readTimeout returns how long a read may wait for records. It is zero until the
+// stream was read to its end once, because the stream may be empty.
+func (p *partition) readTimeout() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.read {
+	if !p.caughtUp {
 		return 0
 	}
 	return readWait
 }
 
-// restart begins anew where the log now begins.
+// restart resets the state to the first offset that the log retains.
 func (p *partition) restart(first logservice.Offset) {
 	klog.InfoS("claims expired before they were read", "stream", p.stream, "first", first)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rec.Restart(claim.NewFold(first), p.s.now())
-	p.read = false
+	p.caughtUp = false
 }
 
-// take applies a batch and answers those who waited for its entries.
-func (p *partition) take(b logservice.Batch, began time.Time) {
+// apply applies a batch and replies to the waiters of its entries.
+func (p *partition) apply(b logservice.Batch, began time.Time) {
 	p.mu.Lock()
 	for _, r := range b.Records {
 		rec, err := claim.Decode(r)
@@ -263,7 +264,7 @@
 		p.rec.Read(p.s.now(), rec)
 	}
 	if p.rec.End() >= b.Next {
-		p.read = true
+		p.caughtUp = true
 		p.readAt = began
 	}
 	for _, rep := range p.rec.Replies() {
@@ -274,14 +275,14 @@
 	}
 	end := p.rec.End()
 	p.mu.Unlock()
-	p.s.learnEnd(p.id, end)
+	p.s.updateEnd(p.id, end)
 }
 
-// maintain forgets what has expired, records the loss of claims whose holder
-// has ended, and appends checkpoints. It returns the unresolved outcomes, if
-// this instance stands first for the partition.
+// maintain removes expired keys, records the loss of claims whose holder has
+// ended, and appends checkpoints. It returns the number of unresolved outcomes
+// if this instance ranks first for the partition, and 0 otherwise.
 func (p *partition) maintain(now time.Time) int {
-	gone := p.gone(now)
+	lost := p.lostClaims(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	fold := p.rec.Fold()
@@ -289,19 +290,19 @@
 	if !p.leads() {
 		return 0
 	}
-	p.presume(now, gone)
+	p.recordLost(now, lost)
 	p.checkpoint(now)
 	return len(fold.Unresolved(""))
 }
 
-// leads tells whether this instance stands first and knows the history. The
-// caller holds the lock.
+// leads reports whether this instance ranks first and has the complete history.
+// The caller holds p.mu.
 func (p *partition) leads() bool {
-	return p.first && p.read && p.rec.Fold().Covered()
+	return p.first && p.caughtUp && p.rec.Fold().Covered()
 }
 
-// gone returns the live claims whose holder has certainly ended.
-func (p *partition) gone(now time.Time) []claim.Op {
+// lostClaims returns the live claims whose holder has certainly ended.
+func (p *partition) lostClaims(now time.Time) []claim.Op {
 	p.mu.Lock()
 	live := p.rec.Fold().Live()
 	p.mu.Unlock()
@@ -312,9 +313,10 @@
 	})
 }
 
-// presume records as unknown what the holders that have ended left open.
-func (p *partition) presume(now time.Time, gone []claim.Op) {
-	for _, op := range gone {
+// recordLost records the outcome of these claims as unknown, because their
+// holders have ended.
+func (p *partition) recordLost(now time.Time, lost []claim.Op) {
+	for _, op := range lost {
 		e := op.Entry
 		e.Kind = claim.Lose
 		e.Presumed = true
@@ -332,11 +334,11 @@
 // checkpoint appends the partition's state if one is due.
 func (p *partition) checkpoint(now time.Time) {
 	interval := p.s.cfg.CheckpointInterval.D()
-	if p.busy || now.Sub(p.tried) < interval/10 || !p.rec.Fold().CheckpointDue(now, interval) {
+	if p.checkpointing || now.Sub(p.checkpointTried) < interval/10 || !p.rec.Fold().CheckpointDue(now, interval) {
 		return
 	}
-	p.busy = true
-	p.tried = now
+	p.checkpointing = true
+	p.checkpointTried = now
 	parts := p.rec.Fold().Checkpoint(p.s.cfg.Self.String(), partSize)
 	p.s.spawn(func(ctx context.Context) {
 		for i := range parts {
@@ -347,14 +349,14 @@
 		}
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.busy = false
+		p.checkpointing = false
 	})
 }
 
 func offset(n int64) logservice.Offset { return logservice.Offset(n) }
 
-// ownEnds takes over how far this instance has read its partitions.
-func (s *Service) ownEnds() {
+// updateLocalEnds updates the stream ends from this instance's own partitions.
+func (s *Service) updateLocalEnds() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, p := range s.partitions {
--- a/operate/peers.go
+++ b/operate/peers.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// pollEvery is how often an outcome is asked for again.
-	pollEvery = 150 * time.Millisecond
-	// patience is how long one who is out of reach is tried before the caller
-	// is told to come back.
-	patience = time.Second
-	// recordTries is how many recorders are tried for one entry.
-	recordTries = 2
+	// pollInterval is the interval at which an outcome is queried again.
+	pollInterval = 150 * time.Millisecond
+	// unreachableTimeout is how long an unreachable holder is tried before
+	// the caller is asked to retry.
+	unreachableTimeout = time.Second
+	// minRecorders is the minimum number of recorders tried for one entry.
+	minRecorders = 2
 )
 
 // peer returns the client for an instance.
@@ -38,15 +38,15 @@
 	return c
 }
 
-// recorders returns the instances that record a partition, first one first.
+// recorders returns the instances that record a partition, in rank order.
 func (s *Service) recorders(p int) []fleet.InstanceID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.roles.Ranked(claim.StreamName(p), max(s.cfg.Recorders, recordTries))
+	return s.roles.Ranked(claim.StreamName(p), max(s.cfg.Recorders, minRecorders))
 }
 
-// claim submits an attempt's claim and returns the verdict. Refused stands
-// also for no verdict in time.
+// claim submits an attempt's claim and returns the verdict. Refused is also
+// returned if there is no verdict in time.
 func (s *Service) claim(ctx context.Context, a *claim.Attempt) (claim.Verdict, claim.Op) {
 	ctx, cancel := context.WithTimeout(ctx, s.claimTimeout(ctx))
 	defer cancel()
@@ -66,31 +66,31 @@
 	return r.verdict, r.op
 }
 
-// While a partition passes to other recorders, as when instances restart one
-// after the other, those that have it may not have read it yet. They refuse
-// claims without appending them, and are asked again.
+// While a partition moves to other recorders, for example during a rolling
+// restart, the new recorders may not have read its stream yet. They refuse
+// claims without appending them, and the claims are submitted again.
 const (
 	handOverTries = 6
 	handOverPause = 100 * time.Millisecond
 )
 
-// recorderHedge is how long a recorder may take before the next one is asked
-// as well: the first may be cut off from the log, where calls hang. Two
-// recorders that append one claim do no harm.
-const recorderHedge = 300 * time.Millisecond
+// recorderHedgeDelay is the time without a reply after which the entry is also
+// submitted to the next recorder: calls of a recorder that is cut off from the
+// log hang. Two recorders that append the same claim are harmless.
+const recorderHedgeDelay = 300 * time.Millisecond
 
-// recorded is what recorders said of an entry.
+// recorded is the combined reply of the recorders to an entry.
 type recorded struct {
 	verdict claim.Verdict
 	op      claim.Op
-	// refused tells that some recorder said that it appended nothing, and
-	// withheld that every one of them did.
+	// refused is set if some recorder replied that it appended nothing,
+	// withheld if all of them did.
 	refused  bool
 	withheld bool
 }
 
-// after joins what recorders said at an earlier try: one try that may have led
-// to an append leaves doubt, whatever they said since.
+// after merges the result of an earlier try. If any try may have led to an
+// append, the entry does not count as withheld.
 func (r recorded) after(earlier recorded) recorded {
 	r.withheld = r.withheld && earlier.withheld
 	return r
@@ -120,7 +120,7 @@
 		}()
 	}
 	out := recorded{verdict: claim.Refused, withheld: true}
-	hedge := time.NewTicker(recorderHedge)
+	hedge := time.NewTicker(recorderHedgeDelay)
 	defer hedge.Stop()
 	for askNext(); running > 0; {
 		select {
@@ -147,8 +147,8 @@
 	return limit
 }
 
-// submit hands an entry to one recorder and returns what it read back. Claims
-// are answered with a verdict; Refused means that the entry was not appended.
+// submit sends an entry to one recorder and returns the result that was read
+// back. The reply to a claim is a verdict; Refused means that the entry was not appended.
 func (s *Service) submit(ctx context.Context, id fleet.InstanceID, e claim.Entry) (claim.Verdict, claim.Op, error) {
 	p := e.Key.Partition(s.cfg.Partitions)
 	if id == s.cfg.Self.Instance {
@@ -160,11 +160,11 @@
 	if err != nil {
 		return 0, claim.Op{}, errors.Wrapf(err, "recorder %s", id)
 	}
-	s.learnEnd(p, offset(resp.Msg.GetNext()))
+	s.updateEnd(p, offset(resp.Msg.GetNext()))
 	return claim.Verdict(resp.Msg.GetVerdict()), claim.OpOf(resp.Msg.GetState()), nil
 }
 
-// recordLocal is submit at this instance.
+// recordLocal is submit for this instance.
 func (s *Service) recordLocal(ctx context.Context, p int, e claim.Entry) (claim.Verdict, claim.Op, error) {
 	s.mu.Lock()
 	part := s.partitions[p]
@@ -176,12 +176,12 @@
 	if err != nil {
 		return 0, claim.Op{}, err
 	}
-	s.learnEnd(p, end)
+	s.updateEnd(p, end)
 	return rep.Verdict, rep.Op, nil
 }
 
 // follow waits for the outcome of another claim, at its holder or in the log.
-// If neither can tell, it is not held until its deadline.
+// If neither has it, follow returns before the request's deadline.
 func (s *Service) follow(ctx context.Context, req *Request, id claim.ID) operation.Answer {
 	began := time.Now()
 	for {
@@ -191,13 +191,13 @@
 		if op, ok := s.lookup(ctx, req.opKey()); ok && (op.Claim != id || op.State.Final()) {
 			return s.replay(ctx, req, op)
 		}
-		if time.Since(began) > patience || !pause(ctx) {
+		if time.Since(began) > unreachableTimeout || !pause(ctx) {
 			return undecided(req, "the operation has no outcome yet")
 		}
 	}
 }
 
-// await asks the holder of a claim, waiting for the outcome there.
+// await queries the holder of a claim and waits for the outcome there.
 func (s *Service) await(ctx context.Context, req *Request, id claim.ID) (operation.Answer, bool) {
 	if d, ok := ctx.Deadline(); ok {
 		bounded, cancel := context.WithDeadline(ctx, d.Add(-answerReserve))
@@ -228,8 +228,8 @@
 	return followed(req, state, a)
 }
 
-// followed turns what a holder said of its attempt into an answer for one who
-// follows it. Not run is not passed on: the key may be open again.
+// followed converts the outcome that a holder reported into an answer for a
+// following request. NotRun is not passed on: the key may have been released.
 func followed(req *Request, state operation.State, a *operation.Answer) (operation.Answer, bool) {
 	switch {
 	case state == operation.Completed && a != nil:
@@ -242,14 +242,14 @@
 	return operation.Answer{}, false
 }
 
-// lists tells whether a process is in the view.
+// lists reports whether a process is in the view.
 func (s *Service) lists(h fleet.Holder) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.ContainsFunc(s.members, func(m membership.Member) bool { return m.Holder() == h })
 }
 
-// lookup asks the recorders what they have read of a key.
+// lookup queries the recorders for the state of a key.
 func (s *Service) lookup(ctx context.Context, key operation.Key) (claim.Op, bool) {
 	p := key.Partition(s.cfg.Partitions)
 	for _, id := range s.recorders(p) {
@@ -279,10 +279,10 @@
 	return part.get(key)
 }
 
-// refreshEnds asks the recorders how far the streams reach, so that requests
-// that arrive from now on have a recent base.
+// refreshEnds queries the recorders for the ends of the streams, so that new
+// requests have a recent base.
 func (s *Service) refreshEnds(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, refreshEvery)
+	ctx, cancel := context.WithTimeout(ctx, refreshInterval)
 	defer cancel()
 	asked := map[fleet.InstanceID]bool{}
 	for p := range s.cfg.Partitions {
@@ -293,7 +293,7 @@
 	}
 	for id := range asked {
 		if id == s.cfg.Self.Instance {
-			s.ownEnds()
+			s.updateLocalEnds()
 			continue
 		}
 		resp, err := s.peer(id).Ends(ctx, connect.NewRequest(&peerv1.EndsRequest{}))
@@ -302,16 +302,17 @@
 		}
 		for p, end := range resp.Msg.GetNext() {
 			if p >= 0 && int(p) < s.cfg.Partitions {
-				s.learnEnd(int(p), offset(end))
+				s.updateEnd(int(p), offset(end))
 			}
 		}
 	}
 }
 
-// pause waits before the next try; false if the context leaves no time for it.
+// pause waits before the next try. It returns false if the context leaves no
+// time for it.
 func pause(ctx context.Context) bool {
-	if d, ok := ctx.Deadline(); ok && time.Until(d) < answerReserve+pollEvery {
+	if d, ok := ctx.Deadline(); ok && time.Until(d) < answerReserve+pollInterval {
 		return false
 	}
-	return wait.For(ctx, pollEvery)
+	return wait.For(ctx, pollInterval)
 }
--- a/operate/receipts.go
+++ b/operate/receipts.go
@@ -15,17 +15,17 @@
 const (
 	// ReceiptStream is the log stream with receipts of ticketed operations.
 	ReceiptStream = "ticket-receipts"
-	// receiptEvery is how often receipts are appended, receiptPerMember times
-	// the members the least: all instances share the log's appends, of which
-	// receipts take 100 a second at most.
-	receiptEvery     = 500 * time.Millisecond
-	receiptPerMember = 10 * time.Millisecond
-	// maxReceipts bounds the receipts that wait; the oldest are dropped.
+	// Receipts are appended at an interval of at least receiptInterval and
+	// receiptIntervalPerMember times the number of members: all instances share
+	// the log's append rate, of which receipts use at most 100 a second.
+	receiptInterval          = 500 * time.Millisecond
+	receiptIntervalPerMember = 10 * time.Millisecond
+	// maxReceipts bounds the queued receipts; the oldest are dropped.
 	maxReceipts = 5000
 )
 
-// Receipt is an operator's trace of a ticketed operation. Receipts are written
-// when the log allows it: one that is missing proves nothing.
+// Receipt is a record of a ticketed operation for operators. Receipts are
+// written on a best-effort basis: a missing one proves nothing.
 type Receipt struct {
 	Ticket   string           `json:"ticket"`
 	Customer fleet.CustomerID `json:"customer"`
@@ -38,12 +38,12 @@
 	At       time.Time        `json:"at"`
 }
 
-// receipts gathers receipts into appends.
+// receipts batches receipts into appends.
 type receipts struct {
-	s    *Service
-	mu   sync.Mutex
-	list []Receipt
-	runs bool
+	s        *Service
+	mu       sync.Mutex
+	list     []Receipt
+	flushing bool
 }
 
 func newReceipts(s *Service) *receipts { return &receipts{s: s} }
@@ -59,13 +59,13 @@
 		Ticket: id.String(), Customer: req.Customer, Route: req.Route, State: state.String(),
 		Digest: req.digest(), Target: target, Request: req.ID, Home: id.Home, At: r.s.now(),
 	})
-	if !r.runs {
-		r.runs = true
+	if !r.flushing {
+		r.flushing = true
 		r.s.spawn(r.flush)
 	}
 }
 
-// flush appends what waits until nothing does.
+// flush appends queued receipts until the queue is empty.
 func (r *receipts) flush(ctx context.Context) {
 	for wait.For(ctx, r.pause()) {
 		if !r.flushOnce(ctx) {
@@ -77,17 +77,17 @@
 func (r *receipts) pause() time.Duration {
 	r.s.mu.Lock()
 	defer r.s.mu.Unlock()
-	return max(receiptEvery, time.Duration(len(r.s.members))*receiptPerMember)
+	return max(receiptInterval, time.Duration(len(r.s.members))*receiptIntervalPerMember)
 }
 
-// flushOnce appends what waits. Without anything it ends the flushing and
-// returns false.
+// flushOnce appends the queued receipts. If there are none, it marks flush as
+// ended and returns false.
 func (r *receipts) flushOnce(ctx context.Context) bool {
 	r.mu.Lock()
 	list := r.list
 	r.list = nil
 	if len(list) == 0 {
-		r.runs = false
+		r.flushing = false
 		r.mu.Unlock()
 		return false
 	}
--- a/operate/record.go
+++ b/operate/record.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// recordBackoff is the first pause before an outcome is sent again; it
+	// recordBackoff is the initial delay before an outcome is sent again; it
 	// doubles up to maxRecordBackoff.
 	recordBackoff    = 100 * time.Millisecond
 	maxRecordBackoff = 3 * time.Second
-	// recordTimeout bounds one try to have an outcome recorded.
+	// recordTimeout bounds one attempt to record an outcome.
 	recordTimeout = 5 * time.Second
 )
 
-// record has the log learn how an attempt ended. A withdrawal is sent only
-// after the callers were told not run.
+// record writes the outcome of an attempt to the log. A withdrawal is sent only
+// after NotRun was reported to the callers.
 func (s *Service) record(ctx context.Context, f *flight) {
 	s.mu.Lock()
 	e, ended := s.table.Outcome(f.a, s.cfg.MaxRecordedAnswer)
-	// An attempt whose claim lost has left the table already.
+	// An attempt whose claim lost is no longer in the table.
 	_, held := s.table.Find(f.a.ID, f.a.Key)
 	exposed := f.a.Exposed()
 	s.mu.Unlock()
@@ -34,7 +34,7 @@
 	}
 	if e.Kind == claim.Withdraw {
 		select {
-		case <-f.told:
+		case <-f.delivered:
 		case <-ctx.Done():
 			return
 		}
@@ -48,7 +48,7 @@
 	s.recordEntry(ctx, e)
 }
 
-// recordEntry sends an entry to the recorders until it was read back.
+// recordEntry sends an entry to the recorders until it is read back.
 func (s *Service) recordEntry(ctx context.Context, e claim.Entry) {
 	pause := recordBackoff
 	for ctx.Err() == nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-// warnContradiction tells operators that a settlement was wrong.
+// warnContradiction logs that a settlement contradicts the actual outcome.
 func warnContradiction(op claim.Op) {
 	if !op.Contradicted {
 		return
@@ -77,7 +77,7 @@
 		"key", op.Key.Name, "settled", op.State.String(), "operator", op.Operator)
 }
 
-// keep holds an answer that is too large for the log.
+// keep stores an answer that is too large for the log in memory.
 func (s *Service) keep(f *flight) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +108,7 @@
 	return a.State(), a.Answer(), true
 }
 
-// keptAnswers holds large answers, the newest ones, within a bound.
+// keptAnswers stores the newest large answers, up to max bytes.
 type keptAnswers struct {
 	max     int64
 	size    int64
--- a/operate/seal.go
+++ b/operate/seal.go
@@ -20,15 +20,17 @@
 const (
 	// handoverBatch bounds the tickets of one message.
 	handoverBatch = 200
-	// sealPoll is how often a stop looks whether operations have ended.
+	// sealPoll is the interval at which a stop checks whether operations have
+	// ended.
 	sealPoll = 20 * time.Millisecond
-	// flushFor bounds the wait for outcomes to reach the log during a stop.
-	flushFor = 5 * time.Second
+	// flushTimeout bounds the wait for outcomes to reach the log during a stop.
+	flushTimeout = 5 * time.Second
 )
 
-// Seal is the graceful stop. It begins no further operation, lets those that
-// run finish, waits for their outcomes to reach the log, and hands the rest to
-// heirs. Until Close the service goes on replaying outcomes and recording.
+// Seal stops the service gracefully. It starts no further operations, lets the
+// running ones finish, waits until their outcomes are in the log, and hands the
+// rest over to successors. Until Close the service continues to replay outcomes
+// and to record.
 func (s *Service) Seal(ctx context.Context) error {
 	s.mu.Lock()
 	s.sealed = true
@@ -39,7 +41,7 @@
 	if err := s.drain(ctx, s.running); err != nil {
 		return errors.Wrap(err, "operations still run")
 	}
-	flush, cancel := context.WithTimeout(ctx, flushFor)
+	flush, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
 	if err := s.drain(flush, s.unrecorded); err != nil {
 		klog.InfoS("outcomes left for the heirs", "count", s.unrecorded())
@@ -48,7 +50,7 @@
 	return s.handOver(ctx)
 }
 
-// drain waits until a count is 0.
+// drain waits until count returns 0.
 func (s *Service) drain(ctx context.Context, count func() int) error {
 	for count() > 0 {
 		if !wait.For(ctx, sealPoll) {
@@ -58,7 +60,7 @@
 	return nil
 }
 
-// running counts the operations that have no answer yet.
+// running returns the number of operations without an answer.
 func (s *Service) running() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,39 +75,39 @@
 	return n
 }
 
-// unrecorded counts the outcomes that the log has not taken yet.
+// unrecorded returns the number of outcomes that are not yet in the log.
 func (s *Service) unrecorded() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.flights)
 }
 
-// handOver gives tickets and unrecorded outcomes to the heirs.
+// handOver sends tickets and unrecorded outcomes to the successors.
 func (s *Service) handOver(ctx context.Context) error {
-	batches := s.estate()
+	batches := s.handoverBatches()
 	if len(batches) == 0 {
 		return nil
 	}
-	given := 0
+	accepted := 0
 	var last error
-	for _, id := range s.heirsOf(s.cfg.Self, len(s.cfg.Members())) {
-		if given == heirs {
+	for _, id := range s.successorsOf(s.cfg.Self, len(s.cfg.Members())) {
+		if accepted == successors {
 			break
 		}
-		if err := s.give(ctx, id, batches); err != nil {
+		if err := s.sendHandover(ctx, id, batches); err != nil {
 			last = err
 			continue
 		}
-		given++
+		accepted++
 	}
-	if given > 0 {
+	if accepted > 0 {
 		return nil
 	}
-	return errors.Wrap(last, "no heir took the tickets")
+	return errors.Wrap(last, "no successor accepted the tickets")
 }
 
-// estate returns what an heir must know, in messages.
-func (s *Service) estate() []*peerv1.HandoverRequest {
+// handoverBatches returns the state for a successor, split into messages.
+func (s *Service) handoverBatches() []*peerv1.HandoverRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var batches []*peerv1.HandoverRequest
@@ -120,7 +122,7 @@
 	var entries []*peerv1.ClaimEntry
 	for _, f := range s.flights {
 		e, ok := s.table.Outcome(f.a, s.cfg.MaxRecordedAnswer)
-		if ok && (e.Kind != claim.Withdraw || f.isTold()) {
+		if ok && (e.Kind != claim.Withdraw || f.isDelivered()) {
 			entries = append(entries, claim.EntryProto(&e))
 		}
 	}
@@ -130,10 +132,10 @@
 	return batches
 }
 
-// isTold tells whether all who waited have been told.
-func (f *flight) isTold() bool {
+// isDelivered reports whether the answer was delivered to all waiters.
+func (f *flight) isDelivered() bool {
 	select {
-	case <-f.told:
+	case <-f.delivered:
 		return true
 	default:
 		return false
@@ -151,7 +153,7 @@
 	return out
 }
 
-func (s *Service) give(ctx context.Context, to fleet.InstanceID, batches []*peerv1.HandoverRequest) error {
+func (s *Service) sendHandover(ctx context.Context, to fleet.InstanceID, batches []*peerv1.HandoverRequest) error {
 	for _, b := range batches {
 		if _, err := s.peer(to).Handover(ctx, connect.NewRequest(b)); err != nil {
 			return errors.Wrapf(err, "handover to %s", to)
@@ -160,8 +162,9 @@
 	return nil
 }
 
-// takeOver makes this instance an heir. A stopping one refuses.
-func (s *Service) takeOver(list []ticket.State, entries []*peerv1.ClaimEntry) bool {
+// acceptHandover makes this instance a successor. It returns false if this
+// instance is stopping.
+func (s *Service) acceptHandover(list []ticket.State, entries []*peerv1.ClaimEntry) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.sealed {
--- a/operate/server.go
+++ b/operate/server.go
@@ -14,7 +14,7 @@
 	"github.com/clementinereel/clementinereel/ticket"
 )
 
-// server answers peers.
+// server serves calls from peers.
 type server struct {
 	s *Service
 }
@@ -79,7 +79,7 @@
 // Survey implements OperationServiceHandler.
 func (v *server) Survey(_ context.Context, r *connect.Request[peerv1.SurveyRequest]) (*connect.Response[peerv1.SurveyResponse], error) {
 	if r.Msg.GetGreeting() {
-		v.s.met(claim.HolderOf(r.Msg.GetFrom()))
+		v.s.recordGreeting(claim.HolderOf(r.Msg.GetFrom()))
 		return connect.NewResponse(surveyProto(v.s.cfg.Self, nil)), nil
 	}
 	keys := make([]operation.Key, 0, len(r.Msg.GetKeys()))
@@ -123,7 +123,7 @@
 			Answer: claim.AnswerOf(t.GetAnswer()), Expires: time.Unix(0, t.GetExpiresUnixNanos()),
 		})
 	}
-	if !v.s.takeOver(list, r.Msg.GetEntries()) {
+	if !v.s.acceptHandover(list, r.Msg.GetEntries()) {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, errStopping)
 	}
 	return connect.NewResponse(&peerv1.HandoverResponse{}), nil
--- a/operate/service.go
+++ b/operate/service.go
@@ -26,21 +26,22 @@
 const (
 	// maxMessage bounds a message between instances, in bytes.
 	maxMessage = 16 << 20
-	// historyKeep is how long processes are remembered after they left.
-	historyKeep = 48 * time.Hour
-	// refreshEvery is how often the ends of the partitions are asked for.
-	refreshEvery = time.Second
-	// greetings is to how many others a process makes itself known. One would
-	// do; more of them outlive the loss of some.
+	// historyRetention is how long processes are tracked after they left.
+	historyRetention = 48 * time.Hour
+	// refreshInterval is the minimum interval between queries for the ends of the
+	// partitions.
+	refreshInterval = time.Second
+	// greetings is the number of other processes that a process announces itself
+	// to. One is enough; more tolerate the loss of some.
 	greetings = 8
-	// endsRate is how many instances a second ask a recorder for the ends.
+	// endsRate is the number of queries for the ends that a recorder receives per
+	// second.
 	endsRate = 40
-	// retryBusy is when a repeat of an undecided operation makes sense.
+	// retryBusy is the Retry-After for a repeat of an undecided operation.
 	retryBusy = 2 * time.Second
 )
 
-// Service runs operations for one instance. Its methods may be called by
-// several goroutines.
+// Service runs operations for one instance. It is safe for concurrent use.
 type Service struct {
 	cfg     Config
 	now     func() time.Time
@@ -51,28 +52,28 @@
 	clients sync.Map // of instances to their clients
 	receipt *receipts
 
-	mu         sync.Mutex
-	table      *claim.Table
-	history    *claim.History
-	members    []membership.Member
-	roles      *rendezvous.Table
-	processes  []fleet.Holder
-	flights    map[*claim.Attempt]*flight
-	tickets    *ticket.Table
-	homed      map[ticket.ID]chan struct{}
-	partitions map[int]*partition
-	ends       []logservice.Offset
-	kept       keptAnswers
-	refreshed  time.Time
-	endsAsked  time.Time
-	greeting   bool
-	questions  []*question
-	surveying  bool
-	sealed     bool
+	mu          sync.Mutex
+	table       *claim.Table
+	history     *claim.History
+	members     []membership.Member
+	roles       *rendezvous.Table
+	processes   []fleet.Holder
+	flights     map[*claim.Attempt]*flight
+	tickets     *ticket.Table
+	ticketRuns  map[ticket.ID]chan struct{}
+	partitions  map[int]*partition
+	ends        []logservice.Offset
+	kept        keptAnswers
+	refreshed   time.Time
+	endsAsked   time.Time
+	greeting    bool
+	surveyQueue []*surveyQuery
+	surveying   bool
+	sealed      bool
 }
 
-// New returns a service. Tick must be called several times a second; Close
-// ends what it started.
+// New returns a service. Tick must be called several times a second; Close ends
+// its background work.
 func New(cfg Config) *Service {
 	cfg.Settings = cfg.Settings.WithDefaults()
 	if cfg.Now == nil {
@@ -90,12 +91,12 @@
 	gone := cfg.GoneAfter.D()
 	s := &Service{
 		cfg: cfg, now: cfg.Now, stats: newStats(cfg.Metrics), ctx: ctx, cancel: cancel,
-		table:   claim.NewTable(cfg.Attempts, cfg.Self),
-		roles:   rendezvous.NewTable(nil),
-		history: claim.NewHistory(cfg.Now(), gone, historyKeep),
-		flights: map[*claim.Attempt]*flight{},
-		tickets: ticket.NewTable(cfg.Tickets, cfg.Self),
-		homed:   map[ticket.ID]chan struct{}{}, partitions: map[int]*partition{},
+		table:      claim.NewTable(cfg.Attempts, cfg.Self),
+		roles:      rendezvous.NewTable(nil),
+		history:    claim.NewHistory(cfg.Now(), gone, historyRetention),
+		flights:    map[*claim.Attempt]*flight{},
+		tickets:    ticket.NewTable(cfg.Tickets, cfg.Self),
+		ticketRuns: map[ticket.ID]chan struct{}{}, partitions: map[int]*partition{},
 		ends: make([]logservice.Offset, cfg.Partitions),
 		kept: keptAnswers{max: cfg.MaxKeptAnswers, answers: map[claim.ID]operation.Answer{}},
 	}
@@ -103,27 +104,27 @@
 	return s
 }
 
-// Handler returns the path and the handler that peers call.
+// Handler returns the path and the handler for calls from peers.
 func (s *Service) Handler() (string, http.Handler) {
 	return peerv1connect.NewOperationServiceHandler(&server{s: s}, peer.HandlerOptions(maxMessage))
 }
 
-// Close ends the service's loops. It does not wait for operations; Seal does.
+// Close ends the service's background goroutines. It does not wait for operations; Seal does.
 func (s *Service) Close() {
 	s.cancel()
 	s.wg.Wait()
 }
 
-// Ready tells whether keyed operations can begin: another instance knows this
-// one for long enough, and the service is not stopping.
+// Ready reports whether keyed operations can start: another instance has known
+// this one for long enough, and the service is not stopping.
 func (s *Service) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Open(s.now())
 }
 
-// Do runs the operation of a request, or finds what became of it. A nil
-// Runner stands for the one of the Config.
+// Do runs the operation of a request or finds its outcome. If run is nil,
+// Config.Run is used.
 func (s *Service) Do(ctx context.Context, req *Request, run Runner) Answer {
 	if run == nil {
 		run = s.cfg.Run
@@ -143,12 +144,12 @@
 	return a
 }
 
-// Tick does what is due: it follows the members, takes and drops partitions,
-// and forgets what is over.
+// Tick does periodic work: it updates the members, starts and stops recording
+// partitions, and removes expired state.
 func (s *Service) Tick(now time.Time) {
 	view, processes := s.cfg.View(), s.cfg.Members()
 	s.mu.Lock()
-	refresh := now.Sub(s.refreshed) >= refreshEvery
+	refresh := now.Sub(s.refreshed) >= refreshInterval
 	changed := s.setMembers(view)
 	if refresh || !slices.Equal(s.processes, processes) {
 		s.processes = processes
@@ -167,7 +168,7 @@
 	for _, p := range s.partitions {
 		parts = append(parts, p)
 	}
-	askEnds := now.Sub(s.endsAsked) >= endsEvery(len(view))
+	askEnds := now.Sub(s.endsAsked) >= endsInterval(len(view))
 	if askEnds {
 		s.endsAsked = now
 	}
@@ -183,8 +184,8 @@
 	s.stats.setUnresolved(unresolved)
 }
 
-// setMembers takes a member view over and tells whether it is another one.
-// The caller holds the lock.
+// setMembers applies a member view and reports whether it differs from the
+// previous one. The caller holds s.mu.
 func (s *Service) setMembers(view []membership.Member) bool {
 	if len(view) == len(s.members) && (len(view) == 0 || &view[0] == &s.members[0]) {
 		return false
@@ -194,11 +195,11 @@
 	return true
 }
 
-// endsEvery is how far apart an instance's questions for the ends are, so that
-// a recorder gets endsRate of them. An old end costs a repeat after "not run"
-// one more refusal, whose answer brings the new end.
-func endsEvery(instances int) time.Duration {
-	return max(refreshEvery, time.Duration(instances)*time.Second/endsRate)
+// endsInterval is the interval between an instance's queries for the ends, such
+// that a recorder receives endsRate of them. With an outdated end, a repeat
+// after NotRun is refused once more, and that response carries the new end.
+func endsInterval(instances int) time.Duration {
+	return max(refreshInterval, time.Duration(instances)*time.Second/endsRate)
 }
 
 // spawn runs a function in the background until Close.
@@ -223,8 +224,8 @@
 	return list
 }
 
-// latest puts the latest incarnation that was seen in the place of one that is
-// not known. The caller holds the lock.
+// latest replaces unknown incarnations by the latest observed ones. The caller
+// holds s.mu.
 func (s *Service) latest(processes []fleet.Holder) []fleet.Holder {
 	list := slices.Clone(processes)
 	for i := range list {
@@ -235,20 +236,20 @@
 	return list
 }
 
-// end returns how far the stream of a partition is known, at the arrival of a
-// request. The caller holds the lock.
+// end returns the known end of a partition's stream at the arrival of a request.
+// The caller holds s.mu.
 func (s *Service) end(p int) logservice.Offset {
 	return s.ends[p]
 }
 
-// learnEnd notes how far a stream reaches.
-func (s *Service) learnEnd(p int, end logservice.Offset) {
+// updateEnd updates the known end of a stream.
+func (s *Service) updateEnd(p int, end logservice.Offset) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ends[p] = max(s.ends[p], end)
 }
 
-// greet makes this process known to others, before the first attempt.
+// greet announces this process to others, before the first attempt.
 func (s *Service) greet(ctx context.Context) {
 	s.mu.Lock()
 	others := s.others()
@@ -261,7 +262,7 @@
 	met := 0
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	for _, m := range others {
-		if s.meet(ctx, m) == nil {
+		if s.sendGreeting(ctx, m) == nil {
 			met++
 		}
 		if met == greetings {
@@ -276,7 +277,7 @@
 	}
 }
 
-// others returns the members but this one. The caller holds the lock.
+// others returns the members except this one. The caller holds s.mu.
 func (s *Service) others() []fleet.Holder {
 	var list []fleet.Holder
 	for _, m := range s.members {
@@ -287,12 +288,12 @@
 	return list
 }
 
-// refuse answers a request that is wrong in itself.
+// refuse returns the answer to an invalid request.
 func refuse(req *Request, status int, detail string) operation.Answer {
 	return operation.NewProblem(req.name(), status, fleet.NotRun, operation.FixRequest, detail, 0)
 }
 
-// logFailure writes one line about a call that failed.
+// logFailure logs a failed call.
 func logFailure(msg string, err error, kv ...any) {
 	klog.V(1).InfoS(msg, append(kv, "err", err)...)
 }
--- a/operate/stats.go
+++ b/operate/stats.go
@@ -11,10 +11,10 @@
 	"github.com/clementinereel/clementinereel/telemetry"
 )
 
-// sampleSize is how many values a histogram keeps.
+// sampleSize is the number of values that a histogram retains.
 const sampleSize = 1028
 
-// stats counts what the service does.
+// stats contains the metrics of the service.
 type stats struct {
 	reg        metrics.Registry
 	claimTime  metrics.Histogram
@@ -68,7 +68,7 @@
 	s.count("operation_surveys", telemetry.Label{Key: "result", Value: result})
 }
 
-// setUnresolved notes the depth of unresolved outcomes and logs its changes.
+// setUnresolved sets the number of unresolved outcomes and logs its changes.
 func (s *stats) setUnresolved(n int) {
 	if before := s.unresolved.Value(); before != int64(n) {
 		klog.InfoS("unresolved operations", "count", n, "before", before)
@@ -76,8 +76,8 @@
 	s.unresolved.Update(int64(n))
 }
 
-// Counts returns how many keyed operations run at this instance, and how many
-// outcomes are unresolved in the partitions for which it stands first.
+// Counts returns the number of keyed operations that run at this instance, and
+// of unresolved outcomes in the partitions for which it ranks first.
 func (s *Service) Counts() (running, unresolved int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/operate/survey.go
+++ b/operate/survey.go
@@ -17,34 +17,36 @@
 )
 
 const (
-	// surveyCall bounds one question of a survey.
-	surveyCall = 300 * time.Millisecond
-	// surveyRounds bounds how often newly named processes are asked.
+	// surveyTimeout bounds one query of a survey.
+	surveyTimeout = 300 * time.Millisecond
+	// surveyRounds bounds the rounds in which newly reported processes are
+	// queried.
 	surveyRounds = 3
-	// surveyFanout bounds the questions that run at once.
+	// surveyFanout bounds the concurrent queries.
 	surveyFanout = 64
-	// surveyBatch bounds the keys of one question.
+	// surveyBatch bounds the keys of one query.
 	surveyBatch = 256
 )
 
-// question is a key that waits for the next survey.
-type question struct {
+// surveyQuery is a key that waits for the next survey.
+type surveyQuery struct {
 	key    operation.Key
 	claim  claim.ID
-	answer chan surveyed
+	answer chan surveyResult
 }
 
-// surveyed is a survey's finding and until when it may be told.
-type surveyed struct {
+// surveyResult is a survey's finding with the time until which it may be
+// reported.
+type surveyResult struct {
 	claim.Finding
 	until time.Time
 }
 
-// survey finds out whether not run is true of a key that could not be claimed,
-// and returns the answer with the time until which it may be told. The attempt
-// has been abandoned; it is nil if there was no room for one.
+// survey determines whether a key that could not be claimed was certainly not
+// run, and returns the answer with the time until which it may be reported. The
+// attempt was abandoned; it is nil if the table was full.
 func (s *Service) survey(ctx context.Context, req *Request, a *claim.Attempt) (operation.Answer, time.Time) {
-	q := &question{key: req.opKey(), answer: make(chan surveyed, 1)}
+	q := &surveyQuery{key: req.opKey(), answer: make(chan surveyResult, 1)}
 	if a != nil {
 		q.claim = a.ID
 	}
@@ -52,7 +54,7 @@
 		s.stats.surveys("busy")
 		return undecided(req, "too many operations are undecided"), time.Time{}
 	}
-	var f surveyed
+	var f surveyResult
 	select {
 	case f = <-q.answer:
 	case <-ctx.Done():
@@ -74,15 +76,15 @@
 	return undecided(req, f.Doubt), time.Time{}
 }
 
-// enqueue has a key surveyed with the next batch. It returns false where too
-// many wait, or where the fleet is too large to be asked.
-func (s *Service) enqueue(q *question) bool {
+// enqueue adds a key to the next batch. It returns false if too many keys wait
+// or the fleet is too large for surveys.
+func (s *Service) enqueue(q *surveyQuery) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.questions) >= s.cfg.MaxSurveys || len(s.members) > s.cfg.MaxSurveyed {
+	if len(s.surveyQueue) >= s.cfg.MaxSurveys || len(s.members) > s.cfg.MaxSurveyed {
 		return false
 	}
-	s.questions = append(s.questions, q)
+	s.surveyQueue = append(s.surveyQueue, q)
 	if !s.surveying {
 		s.surveying = true
 		s.spawn(s.surveyLoop)
@@ -90,13 +92,13 @@
 	return true
 }
 
-// surveyLoop asks for batches of keys until none waits.
+// surveyLoop surveys batches of keys until the queue is empty.
 func (s *Service) surveyLoop(ctx context.Context) {
 	for {
 		s.mu.Lock()
-		n := min(len(s.questions), surveyBatch)
-		batch := s.questions[:n]
-		s.questions = slices.Clone(s.questions[n:])
+		n := min(len(s.surveyQueue), surveyBatch)
+		batch := s.surveyQueue[:n]
+		s.surveyQueue = slices.Clone(s.surveyQueue[n:])
 		s.surveying = n > 0
 		s.mu.Unlock()
 		if n == 0 {
@@ -106,13 +108,13 @@
 	}
 }
 
-// surveyKeys asks all instances for a batch of keys.
-func (s *Service) surveyKeys(ctx context.Context, batch []*question) {
+// surveyKeys queries all instances for a batch of keys.
+func (s *Service) surveyKeys(ctx context.Context, batch []*surveyQuery) {
 	began := s.now()
 	keys := make([]operation.Key, len(batch))
 	surveys := make([]*claim.Survey, len(batch))
 	s.mu.Lock()
-	tell := s.table.Config().NotRunTimeout
+	reportTimeout := s.table.Config().NotRunTimeout
 	for i, q := range batch {
 		keys[i] = q.key
 		surveys[i] = claim.NewSurvey(began, q.claim, s.history)
@@ -127,11 +129,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, q := range batch {
-		q.answer <- surveyed{Finding: surveys[i].Result(s.now(), tell), until: began.Add(tell)}
+		q.answer <- surveyResult{Finding: surveys[i].Result(s.now(), reportTimeout), until: began.Add(reportTimeout)}
 	}
 }
 
-// askNext returns the processes that a survey of the batch has still to ask.
+// askNext returns the processes that a survey of the batch has yet to query.
 func askNext(surveys []*claim.Survey) []fleet.Holder {
 	seen := map[fleet.Holder]bool{}
 	var list []fleet.Holder
@@ -153,9 +155,9 @@
 	}
 }
 
-// askAll puts the question to processes at once and adds their answers.
+// askAll queries processes concurrently and adds their answers.
 func (s *Service) askAll(ctx context.Context, surveys []*claim.Survey, ask []fleet.Holder, keys []operation.Key) {
-	ctx, cancel := context.WithTimeout(ctx, surveyCall)
+	ctx, cancel := context.WithTimeout(ctx, surveyTimeout)
 	defer cancel()
 	var (
 		wg  sync.WaitGroup
@@ -178,8 +180,8 @@
 	wg.Wait()
 }
 
-// askSurvey asks one process for keys. An answer of another incarnation counts
-// for that one alone.
+// askSurvey queries one process for keys. An answer from another incarnation
+// counts only for that incarnation.
 func (s *Service) askSurvey(ctx context.Context, m fleet.Holder, keys []operation.Key) ([]claim.SurveyAnswer, error) {
 	if m == s.cfg.Self {
 		return s.answerSurvey(keys), nil
@@ -198,7 +200,7 @@
 	return surveyOf(resp.Msg), nil
 }
 
-// answerSurvey answers for this instance, as holder and as recorder.
+// answerSurvey returns the answers of this instance, as holder and as recorder.
 func (s *Service) answerSurvey(keys []operation.Key) []claim.SurveyAnswer {
 	answers := make([]claim.SurveyAnswer, len(keys))
 	parts := make([]*partition, len(keys))
@@ -221,20 +223,20 @@
 	return answers
 }
 
-// meet makes this process known to another one.
-func (s *Service) meet(ctx context.Context, m fleet.Holder) error {
+// sendGreeting announces this process to another one.
+func (s *Service) sendGreeting(ctx context.Context, m fleet.Holder) error {
 	resp, err := s.peer(m.Instance).Survey(ctx, connect.NewRequest(&peerv1.SurveyRequest{
 		From: claim.HolderProto(s.cfg.Self), Greeting: true,
 	}))
 	if err != nil {
 		return errors.Wrapf(err, "greeting %s", m)
 	}
-	s.met(claim.HolderOf(resp.Msg.GetSelf()))
+	s.recordGreeting(claim.HolderOf(resp.Msg.GetSelf()))
 	return nil
 }
 
-// met notes a process that made itself known.
-func (s *Service) met(m fleet.Holder) {
+// recordGreeting records a process that announced itself.
+func (s *Service) recordGreeting(m fleet.Holder) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history.Seen(m)
--- a/operate/ticket_test.go
+++ b/operate/ticket_test.go
@@ -13,7 +13,7 @@
 	"github.com/clementinereel/clementinereel/operation"
 )
 
-// ticketed asks an instance for a ticket and returns a request under it.
+// ticketed requests a ticket from an instance and returns a request with it.
 func (c *cluster) ticketed(i int, body string) *Request {
 	c.t.Helper()
 	req := keyed("", body)
@@ -42,8 +42,8 @@
 	assert.Equal(t, c.ran(req.Ticket), 1)
 }
 
-// A home that cannot be reached is not replaced: the answer is unknown, at
-// once, and a repeat finds the outcome later.
+// An unreachable home is not replaced: the answer is unknown without a long
+// wait, and a later repeat finds the outcome.
 func TestTicketHomeCutOff(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	req := c.ticketed(0, "b")
@@ -57,7 +57,8 @@
 	assert.Equal(t, c.ran(req.Ticket), 1)
 }
 
-// After a crash of the home, also under the same name, nobody runs it again.
+// After a crash of the home, no instance runs the operation again, even if the
+// home restarts under the same name.
 func TestTicketHomeCrash(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	req := c.ticketed(0, "b")
@@ -73,8 +74,9 @@
 	assert.Equal(t, c.ran(req.Ticket), 1)
 }
 
-// A graceful stop cuts nothing: what runs finishes, and heirs replay it, even
-// after they stop in turn. Unused tickets are not run, for ever.
+// During a graceful stop, running operations finish and successors replay them,
+// even after those successors stop in turn. Unused tickets are answered as not
+// run from then on.
 func TestTicketsOutliveGracefulStops(t *testing.T) {
 	c := newCluster(t, 4, nil)
 	release := make(chan struct{})
@@ -107,7 +109,7 @@
 }
 
 // A keyed operation in flight finishes during a graceful stop, and an outcome
-// that the log did not take in time is recorded by an heir.
+// that did not reach the log in time is recorded by a successor.
 func TestSealLeavesNoOutcomeBehind(t *testing.T) {
 	c := newCluster(t, 3, nil)
 	c.setBehaviour(func(_ context.Context, req *Request) Result {
--- a/operate/tickets.go
+++ b/operate/tickets.go
@@ -20,8 +20,9 @@
 	"github.com/clementinereel/clementinereel/ticket"
 )
 
-// heirs is how many instances take over the tickets of one that stops.
-const heirs = 2
+// successors is the number of instances that take over the tickets of a stopping
+// instance.
+const successors = 2
 
 var (
 	errPartitions = errors.New("the key is of another partition: do all instances have the same settings?")
@@ -48,8 +49,8 @@
 	return a
 }
 
-// doTicket runs an operation under a ticket at its home, or finds its answer
-// there or at an heir.
+// doTicket runs an operation with a ticket at the ticket's home, the instance
+// that issued it, or finds its answer there or at a successor.
 func (s *Service) doTicket(ctx context.Context, req *Request, run Runner) operation.Answer {
 	id, err := ticket.Parse(req.Ticket)
 	if err != nil || id.Customer != req.Customer {
@@ -68,16 +69,16 @@
 }
 
 // execute runs the operation here, if this is the ticket's home and it has not
-// been run, or replays its answer. It returns false if nothing is known.
+// been run, or replays its answer. It returns false if the ticket is unknown.
 func (s *Service) execute(ctx context.Context, id ticket.ID, req *Request, run Runner) (operation.Answer, bool) {
 	s.mu.Lock()
 	decision, held := s.tickets.Begin(s.now(), id, req.digest())
 	if decision == ticket.Run {
 		done := make(chan struct{})
-		s.homed[id] = done
+		s.ticketRuns[id] = done
 		s.spawn(func(ctx context.Context) { s.runTicket(ctx, id, req, run, done) })
 	}
-	done := s.homed[id]
+	done := s.ticketRuns[id]
 	s.mu.Unlock()
 	switch decision {
 	case ticket.Run, ticket.Wait:
@@ -105,7 +106,7 @@
 	return lostTicket(req)
 }
 
-// runTicket dispatches the operation of a ticket, once, and keeps its answer.
+// runTicket dispatches the operation of a ticket once and stores its answer.
 func (s *Service) runTicket(ctx context.Context, id ticket.ID, req *Request, run Runner, done chan struct{}) {
 	s.receipt.add(id, req, operation.Dispatched, "")
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
@@ -114,7 +115,7 @@
 	a := ticketAnswer(req, res)
 	s.mu.Lock()
 	s.tickets.Finish(s.now(), id, a)
-	delete(s.homed, id)
+	delete(s.ticketRuns, id)
 	s.mu.Unlock()
 	close(done)
 	s.receipt.add(id, req, stateOf(a.Outcome), res.Target)
@@ -134,8 +135,8 @@
 	return operation.Unknown
 }
 
-// ticketAnswer is a run's answer to the ticket's caller. Not run is final for
-// a ticket.
+// ticketAnswer converts a result into the answer to the ticket's caller. NotRun
+// is final for a ticket.
 func ticketAnswer(req *Request, res Result) operation.Answer {
 	switch res.Outcome {
 	case fleet.Completed:
@@ -147,8 +148,8 @@
 	return unresolved(req)
 }
 
-// forward sends an operation to its home. While the home is listed but out of
-// reach it tries again; once it has ended, the heirs are asked.
+// forward sends an operation to its home. While the home is listed but
+// unreachable, it retries; once the home has ended, it queries the successors.
 func (s *Service) forward(ctx context.Context, id ticket.ID, req *Request) operation.Answer {
 	began := time.Now()
 	for {
@@ -156,17 +157,17 @@
 		if err == nil && known {
 			return a
 		}
-		gone := err == nil || s.ended(id.Home)
-		if gone {
-			return s.askHeirs(ctx, id, req)
+		homeEnded := err == nil || s.ended(id.Home)
+		if homeEnded {
+			return s.querySuccessors(ctx, id, req)
 		}
-		if time.Since(began) > patience || !pause(ctx) {
+		if time.Since(began) > unreachableTimeout || !pause(ctx) {
 			return undecided(req, "the ticket's home is out of reach")
 		}
 	}
 }
 
-// ended tells whether a process is no longer listed.
+// ended reports whether a process is no longer listed.
 func (s *Service) ended(h fleet.Holder) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,9 +177,9 @@
 	return !s.history.Present(h)
 }
 
-// askHeirs looks for the outcome that a home has handed over.
-func (s *Service) askHeirs(ctx context.Context, id ticket.ID, req *Request) operation.Answer {
-	for _, m := range s.heirsOf(id.Home, heirs+1) {
+// querySuccessors queries the successors for the outcome that a home handed over.
+func (s *Service) querySuccessors(ctx context.Context, id ticket.ID, req *Request) operation.Answer {
+	for _, m := range s.successorsOf(id.Home, successors+1) {
 		if m == s.cfg.Self.Instance {
 			if a, ok := s.execute(ctx, id, req, nil); ok {
 				return a
@@ -192,8 +193,8 @@
 	return lostTicket(req)
 }
 
-// heirsOf returns who takes over from a process, by rendezvous.
-func (s *Service) heirsOf(h fleet.Holder, n int) []fleet.InstanceID {
+// successorsOf returns the successors of a process by rendezvous hashing.
+func (s *Service) successorsOf(h fleet.Holder, n int) []fleet.InstanceID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var others []membership.Member
@@ -220,7 +221,7 @@
 	return *claim.AnswerOf(resp.Msg.GetAnswer()), true, nil
 }
 
-// lostTicket says that nobody knows the ticket any more.
+// lostTicket returns the answer for a ticket that no instance has any more.
 func lostTicket(req *Request) operation.Answer {
 	return operation.NewProblem(req.name(), http.StatusBadGateway, fleet.Unknown, operation.AskOperator,
 		"the instance that issued the ticket has ended, or the ticket has expired; the operation may have run", 0)
--- a/proxy/confirmation.go
+++ b/proxy/confirmation.go
@@ -28,7 +28,7 @@
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(x.r.Context()), x.deadline)
 	defer cancel()
 	a := h.cfg.Operations.Do(ctx, x.operation(body), nil)
-	defer a.Told()
+	defer a.Delivered()
 	h.conclusion(x, a.Answer)
 }
 
