--- a/gateway/results.go
+++ b/gateway/results.go
@@ -28,7 +28,7 @@
 	switch res := e.result; res.Kind {
 	case exchange.Answered:
 		if res.Response.Status == http.StatusGatewayTimeout {
-			return // handled like exchange.Overdue below
+			return // handled like exchange.TimedOut below
 		}
 		if executionFailed(&res) {
 			c.observe(e.placed, c.classifyFailure(res.Took), began, 0)
--- a/operate/partition.go
+++ b/operate/partition.go
@@ -30,7 +30,7 @@
 	// rank first.
 	standbyRateDivisor = 4
 	// duePollInterval is the interval at which a recorder with entries checks for appends
-	// that are due again, idlePoll the interval without entries.
+	// that are due again, idlePollInterval the interval without entries.
 	duePollInterval  = 50 * time.Millisecond
 	idlePollInterval = time.Second
 )
--- a/statesync/exploration_test.go
+++ b/statesync/exploration_test.go
@@ -236,7 +236,7 @@
 	return b
 }
 
-// read lets an instance read a stream from the store, as Follower.step does.
+// read lets an instance read a stream from the store, as Follower.readOnce does.
 func (w *world) read(in *modelInstance, stream Stream, limit int, deliver func(func())) {
 	next := in.next(stream)
 	end := len(w.targets)
